--- a/scheduling/ledger/src/decodeAccount.ts
+++ b/scheduling/ledger/src/decodeAccount.ts
@@ -3,14 +3,14 @@
 import { PrefillAccount } from './prefillAccount.js'
 
 /** One request's place on a decode engine. */
-export interface PlaceReservation {
+export interface SlotReservation {
   kvBytes: number
   /** The place is certainly free again by then. */
   latestEndMs: number
 }
 
 export interface DecodeCapacity {
-  places: number
+  slots: number
   kvBytes: number
 }
 
@@ -19,9 +19,9 @@
 
 /** Places and KV bytes of one decode engine: what was reserved here, and what others hold on it. */
 export class DecodeAccount {
-  readonly #reserved = new Map<string, PlaceReservation>()
+  readonly #reserved = new Map<string, SlotReservation>()
   #reservedKvBytes = 0
-  #external: DecodeCapacity = { places: 0, kvBytes: 0 }
+  #external: DecodeCapacity = { slots: 0, kvBytes: 0 }
   /** Prompts that it computes itself, between the tokens of its streams. */
   readonly ownPrefills = new PrefillAccount()
   /** When the engine's link from the prefill pool is free. */
@@ -32,7 +32,7 @@
   }
 
   get externalPlaces (): number {
-    return this.#external.places
+    return this.#external.slots
   }
 
   get kvBytesInUse (): number {
@@ -42,7 +42,7 @@
   /** What is free now, within the given capacity. */
   freeNow (capacity: DecodeCapacity): DecodeCapacity {
     return {
-      places: capacity.places - this.#external.places - this.#reserved.size,
+      slots: capacity.slots - this.#external.slots - this.#reserved.size,
       kvBytes: capacity.kvBytes - this.kvBytesInUse,
     }
   }
@@ -52,13 +52,13 @@
     const free = this.freeNow(capacity)
     this.#reserved.forEach(({ latestEndMs, kvBytes }) => {
       if (latestEndMs > atMs) return
-      free.places++
+      free.slots++
       free.kvBytes += kvBytes
     })
     return free
   }
 
-  reserve (labelKey: string, reservation: PlaceReservation): void {
+  reserve (labelKey: string, reservation: SlotReservation): void {
     this.release(labelKey)
     this.#reserved.set(labelKey, reservation)
     this.#reservedKvBytes += reservation.kvBytes
@@ -70,10 +70,10 @@
   }
 
   /** Counts what the engine holds beyond the reservations made here. A hold that outlasts its reservation's estimate keeps its place. */
-  noteReport (report: EngineReport, nowMs: number): void {
+  recordReport (report: EngineReport, nowMs: number): void {
     const held = report.holds.filter(({ kind }) => kind === HoldKind.Decode || kind === HoldKind.Import)
     const external = held.filter(({ label }) => !this.#reserved.has(holdLabelKey(label)))
-    this.#external = { places: external.length, kvBytes: external.reduce((sum, { kvBytes }) => sum + kvBytes, 0) }
+    this.#external = { slots: external.length, kvBytes: external.reduce((sum, { kvBytes }) => sum + kvBytes, 0) }
     held.forEach(({ label }) => {
       const reservation = this.#reserved.get(holdLabelKey(label))
       if (reservation && reservation.latestEndMs <= nowMs) reservation.latestEndMs = nowMs + OVERRUN_STEP_MS
--- a/scheduling/ledger/src/prefillAccount.ts
+++ b/scheduling/ledger/src/prefillAccount.ts
@@ -2,10 +2,10 @@
 import { type EngineReport, HoldKind } from '@reelspan/upstream.client'
 
 /** Work whose end was not heard of by now, this long after its planned end, is taken to have ended. */
-const UNHEARD_END_MS = 500
-const SMOOTHING = 0.05
-const SLOWEST = 3
-const FASTEST = 0.5
+const MISSED_END_GRACE_MS = 500
+const EWMA_WEIGHT = 0.05
+const MAX_SPEED_FACTOR = 3
+const MIN_SPEED_FACTOR = 0.5
 
 /**
  * Planned work of one prefill engine, which does one prefill after another.
@@ -48,7 +48,7 @@
   finish (labelKey: string, nowMs: number): void {
     const [head] = this.#work.keys()
     const costMs = this.#work.get(labelKey) ?? 0
-    if (head === labelKey && costMs > 0) this.#learnSpeed((nowMs - this.#headStartMs) / costMs)
+    if (head === labelKey && costMs > 0) this.#updateSpeedFactor((nowMs - this.#headStartMs) / costMs)
     this.remove(labelKey, nowMs)
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** Corrects the plan by what the engine says it still has before it. */
-  noteReport (report: EngineReport, nowMs: number): void {
+  recordReport (report: EngineReport, nowMs: number): void {
     const queued = report.holds.filter(({ kind }) => kind === HoldKind.Prefill)
     const external = queued.some(({ label }) => !this.#work.has(holdLabelKey(label)))
     this.#externalUntilMs = external ? nowMs + report.prefillQueueMs : 0
@@ -70,13 +70,13 @@
     const [head] = this.#work
     if (!head) return
     const [key, costMs] = head
-    if (this.#headStartMs + costMs + UNHEARD_END_MS > nowMs) return
+    if (this.#headStartMs + costMs + MISSED_END_GRACE_MS > nowMs) return
     this.remove(key, this.#headStartMs + costMs)
     this.expire(nowMs)
   }
 
-  #learnSpeed (factor: number): void {
-    const bounded = Math.min(SLOWEST, Math.max(FASTEST, factor))
-    this.#speedFactor += SMOOTHING * (bounded * this.#speedFactor - this.#speedFactor)
+  #updateSpeedFactor (factor: number): void {
+    const bounded = Math.min(MAX_SPEED_FACTOR, Math.max(MIN_SPEED_FACTOR, factor))
+    this.#speedFactor += EWMA_WEIGHT * (bounded * this.#speedFactor - this.#speedFactor)
   }
 }
--- a/scheduling/ledger/src/shardLedger.ts
+++ b/scheduling/ledger/src/shardLedger.ts
@@ -35,7 +35,7 @@
   report?: EngineReport
   reportAtMs: number
   /** Nothing is known of it yet: neither a report nor a failure to get one. */
-  awaited: boolean
+  awaitsFirstReport: boolean
   /** Set by whoever carries out orders: no new work, so that it empties. */
   retiring: boolean
 }
@@ -113,7 +113,7 @@
     this.#entries.set(key, entry)
     const prefill = this.#prefill.get(entry.prefillEngine)
     const decode = this.#decode.get(entry.decodeEngine)
-    this.#prefillsOf(entry)?.plan(key, entry.prefillCostMs, nowMs)
+    this.#prefillAccountOf(entry)?.plan(key, entry.prefillCostMs, nowMs)
     decode?.account.reserve(key, { kvBytes: entry.kvBytes, latestEndMs: entry.latestEndMs })
     // What a decode engine computes itself takes no link.
     if (!prefill) return
@@ -122,9 +122,9 @@
   }
 
   /** A prefill has ended. */
-  prefilled (label: HoldLabel, nowMs: number): void {
+  recordPrefillEnd (label: HoldLabel, nowMs: number): void {
     const entry = this.#entries.get(holdLabelKey(label))
-    if (entry) this.#prefillsOf(entry)?.finish(holdLabelKey(label), nowMs - this.#shard.spec.prefillLatencyMs)
+    if (entry) this.#prefillAccountOf(entry)?.finish(holdLabelKey(label), nowMs - this.#shard.spec.prefillLatencyMs)
   }
 
   /** Requests that are placed on an engine. */
@@ -147,7 +147,7 @@
     const entry = this.#entries.get(key)
     if (!entry) return undefined
     this.#entries.delete(key)
-    this.#prefillsOf(entry)?.remove(key)
+    this.#prefillAccountOf(entry)?.remove(key)
     this.#decode.get(entry.decodeEngine)?.account.release(key)
     return entry
   }
@@ -160,29 +160,29 @@
   }
 
   /** A report of an older start of the engine says nothing; one of a newer start says that this one is over. */
-  noteReport (engineName: string, report: EngineReport, nowMs: number): void {
+  recordReport (engineName: string, report: EngineReport, nowMs: number): void {
     const engine = this.#prefill.get(engineName) ?? this.#decode.get(engineName)
     if (!engine) return
     const start = reportStart(engine, report)
     if (start === ReportStart.Older) return
-    if (start === ReportStart.Newer) return this.noteSilent(engineName)
+    if (start === ReportStart.Newer) return this.markUnresponsive(engineName)
     engine.report = report
     engine.reportAtMs = nowMs
-    engine.awaited = false
-    engine.account.noteReport(report, nowMs)
+    engine.awaitsFirstReport = false
+    engine.account.recordReport(report, nowMs)
   }
 
   /** The engine did not answer. It gets no work until it reports again. */
-  noteSilent (engineName: string): void {
+  markUnresponsive (engineName: string): void {
     const engine = this.#prefill.get(engineName) ?? this.#decode.get(engineName)
     if (!engine) return
     engine.report = undefined
-    engine.awaited = false
+    engine.awaitsFirstReport = false
   }
 
   /** Whether some engine's first report is still to come, as soon after a shard was taken over. */
-  get awaitsReports (): boolean {
-    return this.allEngines().some(({ awaited, leaving }) => awaited && !leaving)
+  get awaitsFirstReports (): boolean {
+    return this.allEngines().some(({ awaitsFirstReport, leaving }) => awaitsFirstReport && !leaving)
   }
 
   /** When the engine last reported that has been silent longest, of those that ever did. */
@@ -200,7 +200,7 @@
   }
 
   /** Where a request's prompt is computed: on a prefill engine, or on its decode engine itself. */
-  #prefillsOf (entry: LedgerEntry): PrefillAccount | undefined {
+  #prefillAccountOf (entry: LedgerEntry): PrefillAccount | undefined {
     return isOwnPrefill(entry) ? this.#decode.get(entry.decodeEngine)?.account.ownPrefills : this.#prefill.get(entry.prefillEngine)?.account
   }
 }
@@ -216,6 +216,6 @@
   listed.forEach(({ name, address, availabilityZone, leaving, startedAtMs }) => {
     const known = accounts.get(name)
     if (known && known.address === address) known.leaving = leaving
-    else accounts.set(name, { name, address, availabilityZone, role, leaving, startedAtMs, account: createAccount(), reportAtMs: 0, awaited: true, retiring: false })
+    else accounts.set(name, { name, address, availabilityZone, role, leaving, startedAtMs, account: createAccount(), reportAtMs: 0, awaitsFirstReport: true, retiring: false })
   })
 }
--- a/scheduling/ledger/test/restartedEngines.ts
+++ b/scheduling/ledger/test/restartedEngines.ts
@@ -28,7 +28,7 @@
 
 test('reservations and reports of an engine end with its start', (t) => {
   const { ledger, served } = createLedger()
-  ledger.noteReport('d@100', reportOf(EngineRole.Decode, 100), 0)
+  ledger.recordReport('d@100', reportOf(EngineRole.Decode, 100), 0)
   ledger.reserve({ label: LABEL, maxTokens: 10, tbtTargetMs: 76, prefillEngine: 'p@100', decodeEngine: 'd@100', kvBytes: 1, prefillCostMs: 100, importEndMs: 100, latestEndMs: 500, expiresAtMs: 1000 }, 0)
   t.is(ledger.reservationsOn('d@100'), 1)
   ledger.update(shardOf(200))
@@ -39,22 +39,22 @@
 
 test('a report that comes late from an older start is passed over', (t) => {
   const { ledger, served } = createLedger(200)
-  ledger.noteReport('d@200', reportOf(EngineRole.Decode, 100), 0)
+  ledger.recordReport('d@200', reportOf(EngineRole.Decode, 100), 0)
   t.deepEqual(served(), [undefined, undefined])
-  ledger.noteReport('d@200', reportOf(EngineRole.Decode, 200), 0)
-  ledger.noteReport('d@200', { ...reportOf(EngineRole.Decode, 100), changing: true }, 0)
+  ledger.recordReport('d@200', reportOf(EngineRole.Decode, 200), 0)
+  ledger.recordReport('d@200', { ...reportOf(EngineRole.Decode, 100), changing: true }, 0)
   t.deepEqual(served(), [undefined, '1'])
 })
 
 test('an engine whose report tells of a newer start than is listed gets no work', (t) => {
   const { ledger, served } = createLedger(100)
-  ledger.noteReport('d@100', reportOf(EngineRole.Decode, 100), 0)
-  ledger.noteReport('d@100', reportOf(EngineRole.Decode, 200), 0)
+  ledger.recordReport('d@100', reportOf(EngineRole.Decode, 100), 0)
+  ledger.recordReport('d@100', reportOf(EngineRole.Decode, 200), 0)
   t.deepEqual(served(), [undefined, undefined])
 })
 
 test('an engine that does not tell of its start is taken at its word', (t) => {
   const { ledger, served } = createLedger(100)
-  ledger.noteReport('d@100', reportOf(EngineRole.Decode), 0)
+  ledger.recordReport('d@100', reportOf(EngineRole.Decode), 0)
   t.deepEqual(served(), [undefined, '1'])
 })
--- a/scheduling/owner-alone/src/ownerAlonePlacer.ts
+++ b/scheduling/owner-alone/src/localPlacer.ts
@@ -2,12 +2,12 @@
 import { type PlacementPlan, PlacementOutcome, type PlacementRefusal } from '@reelspan/core.messages'
 import { type Placement, Placer, type PlaceRequest } from '@reelspan/scheduling.placer'
 import { type PrefixIndex } from '@reelspan/scheduling.prefix-index'
-import { placesWithinTarget, prefillMs, requestKvBytes, type Shard, transferMs } from '@reelspan/scheduling.shards'
+import { slotsWithinTarget, prefillMs, requestKvBytes, type Shard, transferMs } from '@reelspan/scheduling.shards'
 import { type ListedUpstream } from '@reelspan/config.fleet'
 import { type EnginePicker } from './enginePicker.js'
 import { type DatedReport, type ReportSource } from './reportSource.js'
 
-export interface OwnerAloneOptions {
+export interface LocalPlacerOptions {
   clock: Clock
   picker: EnginePicker
   /** For decode engines, where a prefix means nothing. */
@@ -36,12 +36,12 @@
 }
 
 /** The load of an engine by what it reported, what was placed since, and how long ago that was. */
-type LoadEstimate = (report: DatedReport['report'], unseen: number, ageMs: number) => number
+type LoadEstimate = (report: DatedReport['report'], unreportedLoad: number, ageMs: number) => number
 
 /** A queue gets shorter by a millisecond of work each millisecond. */
-const queueLoad: LoadEstimate = ({ prefillQueueMs }, unseen, ageMs) => Math.max(0, prefillQueueMs + unseen - ageMs)
+const prefillLoad: LoadEstimate = ({ prefillQueueMs }, unreportedLoad, ageMs) => Math.max(0, prefillQueueMs + unreportedLoad - ageMs)
 
-const placesLoad: LoadEstimate = ({ placesUsed }, unseen) => placesUsed + unseen
+const decodeLoad: LoadEstimate = ({ placesUsed }, unreportedLoad) => placesUsed + unreportedLoad
 
 interface OwnPlacement {
   engine: string
@@ -61,16 +61,16 @@
  */
 const ADMISSION_MARGIN = 0.7
 /** Part of the longest answer that is reckoned with. An owner alone sees too few answers to learn it. */
-const USUAL_SHARE = 0.6
+const TYPICAL_ANSWER_SHARE = 0.6
 /** Own placements are remembered until reports must have seen them. */
-const OWN_MEMORY_MS = 2000
+const OWN_PLACEMENT_LIFE_MS = 2000
 
 /** Places from an owner's own knowledge: engine reports and its own recent placements. */
-export class OwnerAlonePlacer extends Placer {
-  readonly #opts: OwnerAloneOptions
-  #own: OwnPlacement[] = []
+export class LocalPlacer extends Placer {
+  readonly #opts: LocalPlacerOptions
+  #ownPlacements: OwnPlacement[] = []
 
-  constructor (opts: OwnerAloneOptions) {
+  constructor (opts: LocalPlacerOptions) {
     super()
     this.#opts = opts
   }
@@ -81,16 +81,16 @@
     const prefillListed = shards.flatMap((shard) => shard.prefillEngines).filter(({ leaving }) => !leaving)
     const decodeListed = shards.flatMap((shard) => shard.decodeEngines).filter(({ leaving }) => !leaving)
     const [prefillReports, decodeReports] = await Promise.all([reports.reports(prefillListed), reports.reports(decodeListed)])
-    const prefill = this.#pickPrefill(request, this.#candidates(prefillListed, prefillReports, request, queueLoad))
+    const prefill = this.#pickPrefill(request, this.#candidates(prefillListed, prefillReports, request, prefillLoad))
     if (!prefill) return refusal('no prefill engine answers')
-    const decodes = this.#candidates(decodeListed, decodeReports, request, placesLoad)
+    const decodes = this.#candidates(decodeListed, decodeReports, request, decodeLoad)
       .filter(({ version }) => version === prefill.version)
     if (decodes.length === 0) return refusal('no decode engine answers')
     const decode = this.#opts.decodePicker.pick(decodes, ({ load }) => load, '')
     const shard = shards.find(({ prefillEngines }) => prefillEngines.includes(prefill.engine)) as Shard
     if (admission && !this.#isInTime(request, prefill, shard)) return refusal('the first token would be late')
-    if (admission && !this.#hasRoom(request, decode, shard)) return refusal('the decode engine is full')
-    return this.#keep(request, prefill, decode, shard)
+    if (admission && !this.#hasCapacity(request, decode, shard)) return refusal('the decode engine is full')
+    return this.#createPlacement(request, prefill, decode, shard)
   }
 
   #candidates (listed: readonly ListedUpstream[], reports: Map<string, DatedReport>, request: PlaceRequest, loadOf: LoadEstimate): Candidate[] {
@@ -100,17 +100,17 @@
       const version = dated?.report.loaded.find(({ model }) => model === servedName)?.version
       if (!dated || dated.report.changing || version === undefined || request.avoid.includes(engine.name)) return []
       const ageMs = this.#opts.clock.nowMs() - dated.atMs + REPORT_LAG_MS
-      const load = loadOf(dated.report, this.#unseenLoad(engine.name, listed, dated.atMs), ageMs)
+      const load = loadOf(dated.report, this.#unreportedLoad(engine.name, listed, dated.atMs), ageMs)
       return [{ name: engine.name, engine, dated, version, load }]
     })
   }
 
   /** What was placed since a report: by this owner, exactly; by each other one as much as by this one, spread evenly. */
-  #unseenLoad (engine: string, listed: readonly ListedUpstream[], reportAtMs: number): number {
+  #unreportedLoad (engine: string, listed: readonly ListedUpstream[], reportAtMs: number): number {
     const owners = this.#opts.ownWeight()
     if (owners === 0) return 0
     const names = new Set(listed.map(({ name }) => name))
-    const recent = this.#own.filter((own) => names.has(own.engine) && own.placedAtMs > reportAtMs - REPORT_LAG_MS)
+    const recent = this.#ownPlacements.filter((own) => names.has(own.engine) && own.placedAtMs > reportAtMs - REPORT_LAG_MS)
     const sumOf = (placements: readonly OwnPlacement[]) => placements.reduce((sum, { load }) => sum + load, 0)
     return sumOf(recent.filter((own) => own.engine === engine)) + (owners - 1) * sumOf(recent) / listed.length
   }
@@ -138,17 +138,17 @@
     return prefill.load + this.#prefillMs(request, prefill.engine, shard) + handoverMs <= ADMISSION_MARGIN * request.ttftLeftMs
   }
 
-  #hasRoom (request: PlaceRequest, decode: Candidate, shard: Shard): boolean {
-    const places = placesWithinTarget(shard, request.tbtTargetMs) * this.#opts.placesPercent / 100
+  #hasCapacity (request: PlaceRequest, decode: Candidate, shard: Shard): boolean {
+    const slots = slotsWithinTarget(shard, request.tbtTargetMs) * this.#opts.placesPercent / 100
     const { kvBytesTotal, kvBytesUsed } = decode.dated.report
-    return decode.load + 1 <= Math.max(1, places) && kvBytesUsed + requestKvBytes(shard, request, USUAL_SHARE) <= kvBytesTotal
+    return decode.load + 1 <= Math.max(1, slots) && kvBytesUsed + requestKvBytes(shard, request, TYPICAL_ANSWER_SHARE) <= kvBytesTotal
   }
 
-  #keep (request: PlaceRequest, prefill: Candidate, decode: Candidate, shard: Shard): Placement {
+  #createPlacement (request: PlaceRequest, prefill: Candidate, decode: Candidate, shard: Shard): Placement {
     const nowMs = this.#opts.clock.nowMs()
     const costMs = this.#prefillMs(request, prefill.engine, shard)
-    this.#own = this.#own.filter(({ placedAtMs }) => nowMs - placedAtMs < OWN_MEMORY_MS)
-    this.#own.push({ engine: prefill.engine.name, placedAtMs: nowMs, load: costMs }, { engine: decode.engine.name, placedAtMs: nowMs, load: 1 })
+    this.#ownPlacements = this.#ownPlacements.filter(({ placedAtMs }) => nowMs - placedAtMs < OWN_PLACEMENT_LIFE_MS)
+    this.#ownPlacements.push({ engine: prefill.engine.name, placedAtMs: nowMs, load: costMs }, { engine: decode.engine.name, placedAtMs: nowMs, load: 1 })
     this.#opts.index.noteSent(prefill.engine.name, request.prefixes, nowMs)
     const plan: PlacementPlan = {
       outcome: PlacementOutcome.Placed,
@@ -156,7 +156,7 @@
       prefillAddress: prefill.engine.address,
       decodeEngine: decode.engine.name,
       decodeAddress: decode.engine.address,
-      kvBytes: requestKvBytes(shard, request, USUAL_SHARE),
+      kvBytes: requestKvBytes(shard, request, TYPICAL_ANSWER_SHARE),
       startInMs: 0,
       startWithinMs: START_WITHIN_MS,
       expectedTtftMs: prefill.load + costMs,
--- a/scheduling/owner-alone/src/freshReports.ts
+++ b/scheduling/owner-alone/src/onDemandReports.ts
@@ -2,7 +2,7 @@
 import { type EngineClient, ReportStart, reportStart } from '@reelspan/upstream.client'
 import { type DatedReport, type ReportedUpstream, ReportSource } from './reportSource.js'
 
-export interface FreshReportsOptions {
+export interface OnDemandReportsOptions {
   clock: Clock
   random: Random
   engines: EngineClient
@@ -12,10 +12,10 @@
 }
 
 /** Asks a few random engines at the moment of placing. Costs nothing while it is not used. */
-export class FreshReports extends ReportSource {
-  readonly #opts: FreshReportsOptions
+export class OnDemandReports extends ReportSource {
+  readonly #opts: OnDemandReportsOptions
 
-  constructor (opts: FreshReportsOptions) {
+  constructor (opts: OnDemandReportsOptions) {
     super()
     this.#opts = opts
   }
--- a/scheduling/owner-alone/src/polledReports.ts
+++ b/scheduling/owner-alone/src/polledReports.ts
@@ -15,31 +15,31 @@
 export class PolledReports extends ReportSource {
   readonly #opts: PolledReportsOptions
   readonly #tasks: TaskGroup
-  readonly #known = new Map<string, DatedReport>()
+  readonly #latest = new Map<string, DatedReport>()
 
   constructor (opts: PolledReportsOptions) {
     super()
     this.#opts = opts
     this.#tasks = new TaskGroup(opts.clock, opts.onTaskError)
-    this.#tasks.repeat(() => this.#pass(), { periodMs: opts.periodMs })
+    this.#tasks.repeat(() => this.#poll(), { periodMs: opts.periodMs })
   }
 
   async reports (): Promise<Map<string, DatedReport>> {
-    return this.#known
+    return this.#latest
   }
 
   async stop (): Promise<void> {
     await this.#tasks.stop()
   }
 
-  async #pass (): Promise<void> {
+  async #poll (): Promise<void> {
     const { clock, engines, listed, periodMs } = this.#opts
     await Promise.all(listed().map(async (upstream) => {
       const { name, address } = upstream
       // The client tells of a failure; the report before stays, and its age with it.
       const report = await engines.report(address, { timeoutMs: periodMs }).catch(() => undefined)
-      if (report && reportStart(upstream, report) === ReportStart.Same) this.#known.set(name, { report, atMs: clock.nowMs() })
-      else this.#known.delete(name)
+      if (report && reportStart(upstream, report) === ReportStart.Same) this.#latest.set(name, { report, atMs: clock.nowMs() })
+      else this.#latest.delete(name)
     }))
   }
 }
--- a/scheduling/prefix-index/src/engineEntries.ts
+++ b/scheduling/prefix-index/src/engineEntries.ts
@@ -13,7 +13,7 @@
     return this.#sentAtMs.size
   }
 
-  note (prefixes: readonly CachedPrefix[], nowMs: number): void {
+  recordSent (prefixes: readonly CachedPrefix[], nowMs: number): void {
     prefixes.forEach(({ digest }) => {
       this.#sentAtMs.delete(digest)
       this.#sentAtMs.set(digest, nowMs)
--- a/scheduling/prefix-index/src/entriesPrefixIndex.ts
+++ b/scheduling/prefix-index/src/entriesPrefixIndex.ts
@@ -16,7 +16,7 @@
   }
 
   noteSent (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): void {
-    this.entriesOf(engine).note(prefixes, nowMs)
+    this.entriesOf(engine).recordSent(prefixes, nowMs)
   }
 
   cachedTokens (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): number {
@@ -28,7 +28,7 @@
     return longest?.tokens ?? 0
   }
 
-  forgetEngine (engine: string): void {
+  removeEngine (engine: string): void {
     this.#engines.delete(engine)
   }
 
--- a/scheduling/prefix-index/src/eventPrefixIndex.ts
+++ b/scheduling/prefix-index/src/eventPrefixIndex.ts
@@ -3,8 +3,8 @@
 
 /** Applies every removal event as it comes. After a gap it starts over for that engine. */
 export class EventPrefixIndex extends EntriesPrefixIndex {
-  noteRemovals (engine: string, page: RemovalPage): void {
-    if (page.afterGap) this.forgetEngine(engine)
+  recordRemovals (engine: string, page: RemovalPage): void {
+    if (page.afterGap) this.removeEngine(engine)
     const entries = this.entriesOf(engine)
     page.removedDigests.forEach((digest) => entries.remove(digest))
   }
--- a/scheduling/prefix-index/src/hitJudgedPrefixIndex.ts
+++ b/scheduling/prefix-index/src/hitJudgedPrefixIndex.ts
@@ -7,14 +7,14 @@
   /** When each digest was last heard to be removed, oldest first. */
   removedAtMs: Map<string, number>
   /** Nothing is known of removals before this. */
-  knownFromMs: number
+  completeSinceMs: number
 }
 
 export interface HitJudgedOptions {
   /** How late a removal is heard of, about. */
   eventLagMs: number
   /** How long an entry from before a gap is still believed. */
-  unknownLifeMs: number
+  unconfirmedLifeMs: number
 }
 
 /**
@@ -34,10 +34,10 @@
     this.#opts = opts
   }
 
-  noteRemovals (engine: string, page: RemovalPage, nowMs: number): void {
-    const log = this.#logs.get(engine) ?? { removedAtMs: new Map(), knownFromMs: nowMs }
+  recordRemovals (engine: string, page: RemovalPage, nowMs: number): void {
+    const log = this.#logs.get(engine) ?? { removedAtMs: new Map(), completeSinceMs: nowMs }
     this.#logs.set(engine, log)
-    if (page.afterGap) log.knownFromMs = nowMs
+    if (page.afterGap) log.completeSinceMs = nowMs
     page.removedDigests.forEach((digest) => {
       log.removedAtMs.delete(digest)
       log.removedAtMs.set(digest, nowMs)
@@ -46,19 +46,19 @@
     if (surplus <= 0) return
     const dropped = [...log.removedAtMs].slice(0, surplus)
     dropped.forEach(([digest]) => log.removedAtMs.delete(digest))
-    log.knownFromMs = Math.max(log.knownFromMs, dropped[surplus - 1][1])
+    log.completeSinceMs = Math.max(log.completeSinceMs, dropped[surplus - 1][1])
   }
 
-  override forgetEngine (engine: string): void {
-    super.forgetEngine(engine)
+  override removeEngine (engine: string): void {
+    super.removeEngine(engine)
     this.#logs.delete(engine)
   }
 
   protected isProbablyCached (engine: string, digest: string, sentAtMs: number, nowMs: number): boolean {
     const log = this.#logs.get(engine)
-    if (!log) return nowMs - sentAtMs <= this.#opts.unknownLifeMs
-    const unheardOf = sentAtMs + this.#opts.eventLagMs < log.knownFromMs
-    if (unheardOf && nowMs - sentAtMs > this.#opts.unknownLifeMs) return false
+    if (!log) return nowMs - sentAtMs <= this.#opts.unconfirmedLifeMs
+    const predatesLog = sentAtMs + this.#opts.eventLagMs < log.completeSinceMs
+    if (predatesLog && nowMs - sentAtMs > this.#opts.unconfirmedLifeMs) return false
     const removedAtMs = log.removedAtMs.get(digest)
     // A removal is heard of late: one that arrived shortly after the send may be older than it.
     return removedAtMs === undefined || removedAtMs < sentAtMs + this.#opts.eventLagMs
--- a/scheduling/prefix-index/src/noPrefixIndex.ts
+++ b/scheduling/prefix-index/src/noPrefixIndex.ts
@@ -8,9 +8,9 @@
     return 0
   }
 
-  noteRemovals (): void {}
+  recordRemovals (): void {}
 
-  forgetEngine (): void {}
+  removeEngine (): void {}
 
   get size (): number {
     return 0
--- a/scheduling/prefix-index/src/prefixIndex.ts
+++ b/scheduling/prefix-index/src/prefixIndex.ts
@@ -19,9 +19,9 @@
   /** Tokens of the longest prefix that the engine probably has. */
   abstract cachedTokens (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): number
 
-  abstract noteRemovals (engine: string, page: RemovalPage, nowMs: number): void
+  abstract recordRemovals (engine: string, page: RemovalPage, nowMs: number): void
 
-  abstract forgetEngine (engine: string): void
+  abstract removeEngine (engine: string): void
 
   /** Entries held, for the dump. */
   abstract get size (): number
--- a/scheduling/prefix-index/src/timeLimitPrefixIndex.ts
+++ b/scheduling/prefix-index/src/timeLimitPrefixIndex.ts
@@ -9,7 +9,7 @@
     this.#lifeMs = lifeMs
   }
 
-  noteRemovals (): void {}
+  recordRemovals (): void {}
 
   protected isProbablyCached (_engine: string, _digest: string, sentAtMs: number, nowMs: number): boolean {
     return nowMs - sentAtMs <= this.#lifeMs
--- a/scheduling/prefix-index/test/prefixIndex.ts
+++ b/scheduling/prefix-index/test/prefixIndex.ts
@@ -23,7 +23,7 @@
   const kinds = [PrefixIndexKind.Events, PrefixIndexKind.HitJudged]
   kinds.forEach((kind) => {
     const index = indexOf(kind)
-    index.noteRemovals('e', { removedDigests: ['ab'], afterGap: false }, LATER_MS)
+    index.recordRemovals('e', { removedDigests: ['ab'], afterGap: false }, LATER_MS)
     t.is(index.cachedTokens('e', PREFIXES, LATER_MS), 64, kind)
     index.noteSent('e', PREFIXES, LATER_MS + 100)
     t.is(index.cachedTokens('e', PREFIXES, LATER_MS + 200), 128, kind)
@@ -32,17 +32,17 @@
 
 test('a time limit forgets by time alone', (t) => {
   const index = indexOf(PrefixIndexKind.TimeLimit)
-  index.noteRemovals('e', { removedDigests: ['ab'], afterGap: false }, LATER_MS)
+  index.recordRemovals('e', { removedDigests: ['ab'], afterGap: false }, LATER_MS)
   t.is(index.cachedTokens('e', PREFIXES, LATER_MS), 128)
   t.is(index.cachedTokens('e', PREFIXES, 31_000), 0)
 })
 
 test('a gap in the events makes old entries doubtful', (t) => {
   const events = indexOf(PrefixIndexKind.Events)
-  events.noteRemovals('e', { removedDigests: [], afterGap: true }, LATER_MS)
+  events.recordRemovals('e', { removedDigests: [], afterGap: true }, LATER_MS)
   t.is(events.cachedTokens('e', PREFIXES, LATER_MS), 0)
   const judged = indexOf(PrefixIndexKind.HitJudged)
-  judged.noteRemovals('e', { removedDigests: [], afterGap: true }, LATER_MS)
+  judged.recordRemovals('e', { removedDigests: [], afterGap: true }, LATER_MS)
   t.is(judged.cachedTokens('e', PREFIXES, LATER_MS), 128, 'young enough')
   t.is(judged.cachedTokens('e', PREFIXES, 40_000), 0)
 })
--- a/scheduling/scheduler-placer/src/schedulerPlacer.ts
+++ b/scheduling/scheduler-placer/src/schedulerPlacer.ts
@@ -21,7 +21,7 @@
 }
 
 /** Shards that a request is offered to, one after the other. */
-const MAX_SHARDS_ASKED = 2
+const MAX_SHARDS_TRIED = 2
 /** A scheduler answers at the latest when the first token would be of no use; this is for the way. */
 const ANSWER_SLACK_MS = 100
 const RELEASE_TIMEOUT_MS = 1000
@@ -39,7 +39,7 @@
   tokensDone: number
   scheduler: Member
   /** Schedulers that accounted for it before. They are told of its end as well. */
-  earlier: Member[]
+  previousSchedulers: Member[]
 }
 
 /** Asks the scheduler of a shard of the model, and spills to a second shard. */
@@ -64,12 +64,12 @@
       if (opts.signal.aborted) return WITHDRAWN
       const elapsedMs = clock.nowMs() - startedAtMs
       const reserve = { ...request, shardId: shard.id, ttftLeftMs: request.ttftLeftMs - elapsedMs }
-      const answer = await this.#ask(shard, reserve, opts.signal)
+      const answer = await this.#reserveOnShard(shard, reserve, opts.signal)
       if (!answer) return fallback.place({ ...request, ttftLeftMs: request.ttftLeftMs - (clock.nowMs() - startedAtMs) }, opts)
       if ('plan' in answer) return answer
       refusals.push(answer)
     }
-    return soonestReturn(refusals)
+    return earliestRetry(refusals)
   }
 
   /** Tells schedulers that are new in their shard what this box has placed there. */
@@ -80,7 +80,7 @@
       return scheduler && scheduler.incarnation !== live.scheduler.incarnation ? [{ live, scheduler }] : []
     })
     const shardIds = new Set(moved.map(({ live }) => live.request.shardId))
-    await Promise.all([...shardIds].map((shardId) => this.#sendAdoption(shardId, moved.filter(({ live }) => live.request.shardId === shardId))))
+    await Promise.all([...shardIds].map((shardId) => this.#transferReservations(shardId, moved.filter(({ live }) => live.request.shardId === shardId))))
   }
 
   /** The request's home shard by its prefix, and one more to spill to. */
@@ -89,7 +89,7 @@
     if (shards.length <= 1) return [...shards]
     const prefix = request.prefixes.findLast(({ tokens }) => tokens <= AFFINITY_TOKENS)
     const affinity = prefix?.digest ?? holdLabelKey(request.label)
-    return rankByRendezvous(affinity, shards, ({ id }) => id).slice(0, MAX_SHARDS_ASKED)
+    return rankByRendezvous(affinity, shards, ({ id }) => id).slice(0, MAX_SHARDS_TRIED)
   }
 
   #shard ({ model, shardId }: ReserveRequest & { model?: string }): Shard | undefined {
@@ -97,15 +97,15 @@
   }
 
   /** Answers nothing when no scheduler can be asked. Whoever asked in vain, or for a request that has ended, gives back what it may have got. */
-  async #ask (shard: Shard, request: ReserveRequest & PlaceRequest, signal: AbortSignal): Promise<Placement | PlacementRefusal | undefined> {
+  async #reserveOnShard (shard: Shard, request: ReserveRequest & PlaceRequest, signal: AbortSignal): Promise<Placement | PlacementRefusal | undefined> {
     const scheduler = schedulerOf(shard, this.#opts.schedulers())
     if (!scheduler) return undefined
     const withdraw = () => this.#release(scheduler, request)
     signal.addEventListener('abort', withdraw, { once: true })
     try {
-      const answer = await this.#reserveOnLiveConnection(scheduler, request, signal)
+      const answer = await this.#reserveWithReconnect(scheduler, request, signal)
       if (signal.aborted) return WITHDRAWN
-      return answer.outcome === PlacementOutcome.Refused ? answer : this.#keep(request, answer, scheduler)
+      return answer.outcome === PlacementOutcome.Refused ? answer : this.#track(request, answer, scheduler)
     } catch (thrown) {
       if (!(thrown instanceof ReelspanError)) throw thrown
       if (signal.aborted) return WITHDRAWN
@@ -117,7 +117,7 @@
   }
 
   /** When the connection went silent and the scheduler answers on a new one, what it may have reserved is taken back first. */
-  async #reserveOnLiveConnection (scheduler: Member, request: ReserveRequest, signal: AbortSignal): Promise<PlacementAnswer> {
+  async #reserveWithReconnect (scheduler: Member, request: ReserveRequest, signal: AbortSignal): Promise<PlacementAnswer> {
     const { clock } = this.#opts
     const askedAtMs = clock.nowMs()
     try {
@@ -132,37 +132,37 @@
   }
 
   async #reserve (scheduler: Member, request: ReserveRequest, signal: AbortSignal): Promise<PlacementAnswer> {
-    if (scheduler.incarnation === this.#opts.selfIncarnation()) return this.#reserveHere(request)
+    if (scheduler.incarnation === this.#opts.selfIncarnation()) return this.#reserveLocally(request)
     const timeoutMs = Math.max(0, request.ttftLeftMs, request.patienceMs ?? 0) + ANSWER_SLACK_MS
     const answer = await this.#opts.link.call(scheduler.peerAddress, { type: MessageType.Reserve, request }, { timeoutMs, signal, endIfSilent: true })
     if (answer.type !== MessageType.ReserveAnswer) throw new Error(`unexpected answer ${answer.type}`)
     return answer.answer
   }
 
-  async #reserveHere (request: ReserveRequest): Promise<PlacementAnswer> {
+  async #reserveLocally (request: ReserveRequest): Promise<PlacementAnswer> {
     const scheduler = this.#opts.localScheduler(request.shardId)
     if (!scheduler) return { outcome: PlacementOutcome.Refused, reason: `there is no shard ${request.shardId}`, retryAfterMs: RELEASE_TIMEOUT_MS }
     return scheduler.reserve(request)
   }
 
-  #keep (request: ReserveRequest, plan: PlacementPlan, scheduler: Member): Placement {
+  #track (request: ReserveRequest, plan: PlacementPlan, scheduler: Member): Placement {
     const key = holdLabelKey(request.label)
-    const live: LivePlacement = { request, plan, scheduler, placedAtMs: this.#opts.clock.nowMs(), tokensDone: 0, earlier: [] }
+    const live: LivePlacement = { request, plan, scheduler, placedAtMs: this.#opts.clock.nowMs(), tokensDone: 0, previousSchedulers: [] }
     this.#live.set(key, live)
     return {
       plan,
       placedBy: scheduler.name,
-      prefilled: () => this.#tellPrefilled(live),
+      prefilled: () => this.#sendPrefillEnd(live),
       release: (report, outcomes) => {
         this.#live.delete(key)
         this.#release(live.scheduler, request, report, outcomes)
-        this.#releaseEarlier(live)
+        this.#releaseAtPreviousSchedulers(live)
       },
       progressed: (tokensDone) => { live.tokensDone = tokensDone },
     }
   }
 
-  #tellPrefilled ({ scheduler, request: { shardId, label } }: LivePlacement): void {
+  #sendPrefillEnd ({ scheduler, request: { shardId, label } }: LivePlacement): void {
     const { link, localScheduler, selfIncarnation } = this.#opts
     if (scheduler.incarnation === selfIncarnation()) return localScheduler(shardId)?.prefilled(label)
     // The link tells of a failure; the scheduler goes by its own estimate then.
@@ -178,7 +178,7 @@
     link.call(scheduler.peerAddress, { type: MessageType.ReleaseReservation, shardId, label, report, outcomes: [...outcomes] }, { timeoutMs: RELEASE_TIMEOUT_MS, repeatable: true }).catch(() => {})
   }
 
-  async #sendAdoption (shardId: string, moved: { live: LivePlacement, scheduler: Member }[]): Promise<void> {
+  async #transferReservations (shardId: string, moved: { live: LivePlacement, scheduler: Member }[]): Promise<void> {
     const { clock, link, localScheduler, selfIncarnation } = this.#opts
     const { scheduler } = moved[0]
     const reservations = moved.map(({ live }): AdoptedReservation => ({
@@ -191,28 +191,28 @@
     // The link tells of a failure; a scheduler that was not told sees what runs in the engines' reports alone.
     if (scheduler.incarnation === selfIncarnation()) localScheduler(shardId)?.adopt(reservations)
     else await link.call(scheduler.peerAddress, { type: MessageType.AdoptReservations, shardId, reservations }, { timeoutMs: RELEASE_TIMEOUT_MS, repeatable: true }).catch(() => {})
-    moved.forEach(({ live }) => this.#handOver(live, scheduler))
+    moved.forEach(({ live }) => this.#completeTransfer(live, scheduler))
   }
 
   /**
    * From now on the new scheduler accounts for a placement. The one before keeps it as well, as long
    * as it runs: other boxes may still ask that one.
    */
-  #handOver (live: LivePlacement, scheduler: Member): void {
-    live.earlier = [...live.earlier, live.scheduler].filter(({ incarnation }) => incarnation !== scheduler.incarnation)
+  #completeTransfer (live: LivePlacement, scheduler: Member): void {
+    live.previousSchedulers = [...live.previousSchedulers, live.scheduler].filter(({ incarnation }) => incarnation !== scheduler.incarnation)
     live.scheduler = scheduler
     // It may have ended while the new scheduler was told of it.
     if (!this.#live.has(holdLabelKey(live.request.label))) this.#release(scheduler, live.request)
   }
 
   /** What an earlier scheduler keeps of a placement would take a place until the request's deadline, if its box schedules the shard again. */
-  #releaseEarlier ({ earlier, request }: LivePlacement): void {
-    const living = new Set(this.#opts.schedulers().map(({ incarnation }) => incarnation))
-    earlier.filter(({ incarnation }) => living.has(incarnation)).forEach((scheduler) => this.#release(scheduler, request))
+  #releaseAtPreviousSchedulers ({ previousSchedulers, request }: LivePlacement): void {
+    const aliveIncarnations = new Set(this.#opts.schedulers().map(({ incarnation }) => incarnation))
+    previousSchedulers.filter(({ incarnation }) => aliveIncarnations.has(incarnation)).forEach((scheduler) => this.#release(scheduler, request))
   }
 }
 
-function soonestReturn (refusals: PlacementRefusal[]): PlacementRefusal {
-  const [soonest] = [...refusals].sort((a, b) => a.retryAfterMs - b.retryAfterMs)
-  return soonest ?? { outcome: PlacementOutcome.Refused, reason: 'the model has no engines', retryAfterMs: 1000 }
+function earliestRetry (refusals: PlacementRefusal[]): PlacementRefusal {
+  const [earliest] = [...refusals].sort((a, b) => a.retryAfterMs - b.retryAfterMs)
+  return earliest ?? { outcome: PlacementOutcome.Refused, reason: 'the model has no engines', retryAfterMs: 1000 }
 }
--- a/scheduling/scheduler-placer/test/__utils__/createPlacer.ts
+++ b/scheduling/scheduler-placer/test/__utils__/createPlacer.ts
@@ -13,7 +13,7 @@
 const OTHER = 'b'.repeat(16)
 
 /** A link whose calls are answered by the test. */
-class HeldLink extends PeerLink {
+class ManualLink extends PeerLink {
   readonly calls: { message: PeerMessage, answer: (message: PeerMessage) => void }[] = []
 
   call (address: string, message: PeerMessage, { signal }: PeerCallOptions): Promise<PeerMessage> {
@@ -54,11 +54,11 @@
 /** A placer of a box that schedules itself, or asks another box. */
 export function createPlacer ({ shards = 1, remote = false }: TestPlacerOptions = {}) {
   const clock = new VirtualClock()
-  const link = new HeldLink()
+  const link = new ManualLink()
   const fallback = new RecordingPlacer()
-  const placeAt = (shard: Shard) => new ShardScheduler({ clock, shard, route: () => undefined, index: createPrefixIndex(PrefixIndexKind.Events), reportLifeMs: 1_000_000 })
+  const createScheduler = (shard: Shard) => new ShardScheduler({ clock, shard, route: () => undefined, index: createPrefixIndex(PrefixIndexKind.Events), reportLifeMs: 1_000_000 })
   const listed = Array.from({ length: shards }, (_, i) => shardOf(`draft#${i}`))
-  const schedulers = new Map(listed.map((shard) => [shard.id, placeAt(shard)]))
+  const schedulers = new Map(listed.map((shard) => [shard.id, createScheduler(shard)]))
   // Like a view's, the list is another one after each change.
   let members = [memberOf(remote ? OTHER : SELF)]
   const placer = new SchedulerPlacer({
@@ -72,14 +72,14 @@
   })
   /** Another box takes the shards over; the one before lives on. */
   const replaceScheduler = () => {
-    const present = members[0]?.incarnation === SELF ? OTHER : SELF
-    members = [roomy(memberOf(present)), ...members]
+    const current = members[0]?.incarnation === SELF ? OTHER : SELF
+    members = [withHeadroom(memberOf(current)), ...members]
   }
   return { clock, link, fallback, placer, schedulers: [...schedulers.values()], replaceScheduler }
 }
 
 /** A member that is chosen before those with usual room. */
-function roomy (member: Member): Member {
+function withHeadroom (member: Member): Member {
   return { ...member, room: 10 }
 }
 
--- a/scheduling/scheduler-placer/test/schedulerPlacer.ts
+++ b/scheduling/scheduler-placer/test/schedulerPlacer.ts
@@ -4,11 +4,11 @@
 
 test('a request that waits at the own scheduler is withdrawn when its caller leaves, and offered to no other shard', async (t) => {
   const { clock, placer, schedulers } = createPlacer({ shards: 2 })
-  const left = new AbortController()
-  const placing = placer.place(requestOf('r1'), { signal: left.signal })
+  const callerAbort = new AbortController()
+  const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
   await clock.advance(100)
   t.is(schedulers.reduce((sum, scheduler) => sum + scheduler.describe().waiting, 0), 1)
-  left.abort()
+  callerAbort.abort()
   await clock.advance(0)
   t.is(schedulers.reduce((sum, scheduler) => sum + scheduler.describe().waiting, 0), 0)
   t.false('plan' in await clock.run(placing, 0))
@@ -16,12 +16,12 @@
 
 test('a place that is found in the moment in which the caller leaves is not held', async (t) => {
   const { clock, placer, schedulers: [scheduler] } = createPlacer()
-  const left = new AbortController()
-  const placing = placer.place(requestOf('r1'), { signal: left.signal })
+  const callerAbort = new AbortController()
+  const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
   await clock.advance(100)
   reportEngines(scheduler)
   t.is(scheduler.ledger.reservationCount, 1)
-  left.abort()
+  callerAbort.abort()
   t.false('plan' in await clock.run(placing, 0))
   t.is(scheduler.ledger.reservationCount, 0)
   t.is(placer.liveCount, 0)
@@ -29,10 +29,10 @@
 
 test('a request on its way to another box\'s scheduler is withdrawn there once, and nobody else is asked', async (t) => {
   const { clock, fallback, link, placer } = createPlacer({ remote: true, shards: 2 })
-  const left = new AbortController()
-  const placing = placer.place(requestOf('r1'), { signal: left.signal })
+  const callerAbort = new AbortController()
+  const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
   await clock.advance(100)
-  left.abort()
+  callerAbort.abort()
   t.false('plan' in await clock.run(placing, 0))
   t.is(link.ofType(MessageType.Reserve).length, 1)
   t.is(link.ofType(MessageType.ReleaseReservation).length, 1)
@@ -41,11 +41,11 @@
 
 test('a place that another box found in the moment in which the caller leaves is given back and not held', async (t) => {
   const { clock, link, placer } = createPlacer({ remote: true })
-  const left = new AbortController()
-  const placing = placer.place(requestOf('r1'), { signal: left.signal })
+  const callerAbort = new AbortController()
+  const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
   await clock.advance(100)
   link.calls[0].answer({ type: MessageType.ReserveAnswer, answer: PLAN })
-  left.abort()
+  callerAbort.abort()
   t.false('plan' in await clock.run(placing, 0))
   t.is(link.ofType(MessageType.ReleaseReservation).length, 1)
   t.is(placer.liveCount, 0)
--- a/scheduling/scheduler-placer/test/silentConnection.ts
+++ b/scheduling/scheduler-placer/test/unresponsiveConnection.ts
@@ -51,14 +51,14 @@
   async close (): Promise<void> {}
 }
 
-class AlonePlacer extends Placer {
+class FallbackPlacer extends Placer {
   async place (): Promise<Placement> {
     return { plan: PLAN, placedBy: 'alone', prefilled: () => {}, release: () => {}, progressed: () => {} }
   }
 }
 
 /** Places a request while the first message to the scheduler fails. */
-async function placeDespite (failure: PeerLinkError) {
+async function placeWithFailure (failure: PeerLinkError) {
   const clock = new VirtualClock()
   const link = new FailingLink(clock, failure)
   const placer = new SchedulerPlacer({
@@ -68,21 +68,21 @@
     schedulers: () => [SCHEDULER],
     shardsOfModel: () => [{ id: 'm#0' } as unknown as Shard],
     localScheduler: () => undefined,
-    fallback: new AlonePlacer(),
+    fallback: new FallbackPlacer(),
   })
   const placement = await clock.run(placer.place(REQUEST, { signal: new AbortController().signal }))
   return { placement, sent: link.sent }
 }
 
 test('a scheduler whose connection went silent is asked again on a new one, after what it may have reserved is taken back', async (t) => {
-  const { placement, sent } = await placeDespite(new PeerLinkError('the connection went silent', { mayHaveArrived: true, silent: true }))
+  const { placement, sent } = await placeWithFailure(new PeerLinkError('the connection went silent', { mayHaveArrived: true, silent: true }))
   t.like(placement, { placedBy: 'scheduler' })
   t.deepEqual(sent.map(({ message }) => message.type), [MessageType.Reserve, MessageType.ReleaseReservation, MessageType.Reserve])
   t.like(sent[2].message, { request: { ttftLeftMs: 650, patienceMs: 2450 } })
 })
 
 test('a scheduler that gives no sign of life is not waited for', async (t) => {
-  const { placement, sent } = await placeDespite(new PeerLinkError('no sign of life', { mayHaveArrived: true }))
+  const { placement, sent } = await placeWithFailure(new PeerLinkError('no sign of life', { mayHaveArrived: true }))
   t.like(placement, { placedBy: 'alone' })
   t.deepEqual(sent.map(({ message }) => message.type), [MessageType.Reserve, MessageType.ReleaseReservation])
   t.true(sent[0].opts.endIfSilent)
--- a/scheduling/scheduler/src/clientShares.ts
+++ b/scheduling/scheduler/src/clientShares.ts
@@ -1,13 +1,13 @@
 /** Use is forgotten with this time constant. */
-const MEMORY_MS = 5000
+const USAGE_DECAY_MS = 5000
 /** A client may use this much more than its share before it lets others go first: shares are uneven in the short run. */
 const TOLERANCE = 1.5
 /** Use below this (engine time in ms) counts as none. */
-const LITTLE_USE_MS = 50
+const NEGLIGIBLE_USAGE_MS = 50
 /** The fair share is worked out again this often. */
-const RECOUNT_MS = 100
+const FAIR_SHARE_REFRESH_MS = 100
 
-interface ClientUse {
+interface ClientUsage {
   usedMs: number
   weight: number
   atMs: number
@@ -19,39 +19,39 @@
  * that floods takes what is left over and no more.
  */
 export class ClientShares {
-  readonly #uses = new Map<string, ClientUse>()
+  readonly #usages = new Map<string, ClientUsage>()
   #fairMsPerWeight = 0
-  #countedAtMs = Number.NEGATIVE_INFINITY
+  #refreshedAtMs = Number.NEGATIVE_INFINITY
 
   /** Whether a client has used more than its share. */
-  isAhead (client: string, nowMs: number): boolean {
-    const use = this.#uses.get(client)
+  isOverShare (client: string, nowMs: number): boolean {
+    const use = this.#usages.get(client)
     if (!use) return false
-    return usedMs(use, nowMs) / use.weight > TOLERANCE * this.#fairShareMs(nowMs) + LITTLE_USE_MS
+    return decayedUsageMs(use, nowMs) / use.weight > TOLERANCE * this.#fairShareMs(nowMs) + NEGLIGIBLE_USAGE_MS
   }
 
   charge (client: string, costMs: number, weight: number, nowMs: number): void {
-    const use = this.#uses.get(client)
-    this.#uses.set(client, { usedMs: (use ? usedMs(use, nowMs) : 0) + costMs, weight, atMs: nowMs })
+    const use = this.#usages.get(client)
+    this.#usages.set(client, { usedMs: (use ? decayedUsageMs(use, nowMs) : 0) + costMs, weight, atMs: nowMs })
   }
 
   /** What each unit of weight would have used if all clients that use anything had used alike. */
   #fairShareMs (nowMs: number): number {
-    if (nowMs - this.#countedAtMs < RECOUNT_MS) return this.#fairMsPerWeight
-    this.#countedAtMs = nowMs
+    if (nowMs - this.#refreshedAtMs < FAIR_SHARE_REFRESH_MS) return this.#fairMsPerWeight
+    this.#refreshedAtMs = nowMs
     let totalMs = 0
     let totalWeight = 0
-    this.#uses.forEach((use, client) => {
-      const nowUsedMs = usedMs(use, nowMs)
+    this.#usages.forEach((use, client) => {
+      const nowUsedMs = decayedUsageMs(use, nowMs)
       totalMs += nowUsedMs
-      if (nowUsedMs >= LITTLE_USE_MS) totalWeight += use.weight
-      else if (nowMs - use.atMs > MEMORY_MS) this.#uses.delete(client)
+      if (nowUsedMs >= NEGLIGIBLE_USAGE_MS) totalWeight += use.weight
+      else if (nowMs - use.atMs > USAGE_DECAY_MS) this.#usages.delete(client)
     })
     this.#fairMsPerWeight = totalWeight > 0 ? totalMs / totalWeight : 0
     return this.#fairMsPerWeight
   }
 }
 
-function usedMs ({ usedMs: thenMs, atMs }: ClientUse, nowMs: number): number {
-  return thenMs * Math.exp((atMs - nowMs) / MEMORY_MS)
+function decayedUsageMs ({ usedMs: thenMs, atMs }: ClientUsage, nowMs: number): number {
+  return thenMs * Math.exp((atMs - nowMs) / USAGE_DECAY_MS)
 }
--- a/scheduling/scheduler/src/decideAdmission.ts
+++ b/scheduling/scheduler/src/decideAdmission.ts
@@ -10,7 +10,7 @@
 /** What is known of a request and its shard at one moment. */
 export interface AdmissionInputs {
   /** Least time to its first token if it were placed at once; nothing when no engine takes work. */
-  leastMs?: number
+  minTtftMs?: number
   /** Requests that go before it because they can be in time, or are more urgent. */
   aheadInTime: number
   /** Others that go before it. */
@@ -53,17 +53,17 @@
  * nothing.
  */
 export function decideAdmission (inputs: AdmissionInputs): AdmissionDecision {
-  const { leastMs, inTimeLeftMs, usefulLeftMs, msPerPlace, rateError, handoverMs, returned, promised, kept } = inputs
-  if (leastMs === undefined) return refuse(Number.POSITIVE_INFINITY, 0, 'no engine of the model takes work')
-  if (leastMs > usefulLeftMs) return refuse(leastMs, 0, 'the first token would be late')
-  const waitsMs = (places: number, msPerOne: number) => Math.max(leastMs, places * msPerOne + handoverMs)
-  const estimateMs = waitsMs(inputs.aheadInTime + inputs.aheadDue + 1, msPerPlace)
+  const { minTtftMs, inTimeLeftMs, usefulLeftMs, msPerPlace, rateError, handoverMs, returned, promised, kept } = inputs
+  if (minTtftMs === undefined) return refuse(Number.POSITIVE_INFINITY, 0, 'no engine of the model takes work')
+  if (minTtftMs > usefulLeftMs) return refuse(minTtftMs, 0, 'the first token would be late')
+  const waitForMs = (slots: number, msPerSlot: number) => Math.max(minTtftMs, slots * msPerSlot + handoverMs)
+  const estimateMs = waitForMs(inputs.aheadInTime + inputs.aheadDue + 1, msPerPlace)
   if (estimateMs <= inTimeLeftMs) return { outcome: AdmissionOutcome.InTime, estimateMs, errorMs: rateError * estimateMs, reason: 'a place in time is in sight' }
   // What a request has waited is lost if it is refused now, and a second refusal costs its caller as much as
   // waiting for nothing: for these, the error counts in their favour.
   const favoured = kept || returned
-  const lateEstimateMs = waitsMs(inputs.aheadInTime + inputs.aheadDue + inputs.aheadLate + 1, msPerLatePlace(inputs, 0))
-  const boundMs = waitsMs(inputs.aheadInTime + inputs.aheadDue + inputs.aheadLate + 1, msPerLatePlace(inputs, favoured ? rateError : -rateError))
+  const lateEstimateMs = waitForMs(inputs.aheadInTime + inputs.aheadDue + inputs.aheadLate + 1, msPerLatePlace(inputs, 0))
+  const boundMs = waitForMs(inputs.aheadInTime + inputs.aheadDue + inputs.aheadLate + 1, msPerLatePlace(inputs, favoured ? rateError : -rateError))
   const errorMs = Number.isFinite(lateEstimateMs) && Number.isFinite(boundMs) ? Math.abs(boundMs - lateEstimateMs) : 0
   if (promised || boundMs <= usefulLeftMs) return { outcome: AdmissionOutcome.Late, estimateMs: lateEstimateMs, errorMs, reason: 'a place is in sight, late' }
   return refuse(lateEstimateMs, errorMs, reasonOf(inputs))
@@ -77,9 +77,9 @@
  */
 export function msPerLatePlace ({ msPerPlace, msPerArrival }: Pick<AdmissionInputs, 'msPerPlace' | 'msPerArrival'>, error: number): number {
   if (msPerPlace === 0) return 0
-  const placesPerMs = (1 + error) / msPerPlace
-  const leftPerMs = msPerArrival === undefined ? placesPerMs : placesPerMs - (1 - error) / msPerArrival
-  return leftPerMs > 0 ? 1 / leftPerMs : Number.POSITIVE_INFINITY
+  const slotsPerMs = (1 + error) / msPerPlace
+  const lateSlotsPerMs = msPerArrival === undefined ? slotsPerMs : slotsPerMs - (1 - error) / msPerArrival
+  return lateSlotsPerMs > 0 ? 1 / lateSlotsPerMs : Number.POSITIVE_INFINITY
 }
 
 function reasonOf ({ aheadInTime, aheadLate, msPerPlace, msPerArrival }: AdmissionInputs): string {
--- a/scheduling/scheduler/src/decideQueue.ts
+++ b/scheduling/scheduler/src/decideQueue.ts
@@ -2,12 +2,12 @@
 import { type WaitingRequest } from './waitingQueue.js'
 
 /** What is known of a shard at one moment, for all that wait there. */
-export interface QueueFacts extends Pick<AdmissionInputs, 'msPerPlace' | 'msPerArrival' | 'rateError'> {
+export interface QueueInputs extends Pick<AdmissionInputs, 'msPerPlace' | 'msPerArrival' | 'rateError'> {
   nowMs: number
   /** Least time to a request's first token if it were placed at once; nothing when no engine takes work. */
-  leastMs: (waiting: WaitingRequest) => number | undefined
+  minTtftMs: (waiting: WaitingRequest) => number | undefined
   /** A client has used more than its share. */
-  isAhead: (client: string) => boolean
+  isOverShare: (client: string) => boolean
   /** When requests come back for places that they were promised, sorted. */
   promisesDueAtMs: readonly number[]
 }
@@ -20,47 +20,47 @@
 }
 
 /** Decides of each request that waits whether it is kept: more urgent ones first, and otherwise in the order in which they are placed. */
-export function decideQueue (waiting: readonly WaitingRequest[], facts: QueueFacts): QueueDecision[] {
+export function decideQueue (waiting: readonly WaitingRequest[], queueInputs: QueueInputs): QueueDecision[] {
   const priorities = [...new Set(waiting.map(({ request }) => request.priority))].sort((a, b) => b - a)
   return priorities.reduce<QueueDecision[]>((decided, priority) => {
-    const alike = waiting.filter(({ request }) => request.priority === priority)
-    return [...decided, ...decideAlike(inOrder(alike, facts), decided.filter(isKept).length, facts)]
+    const samePriority = waiting.filter(({ request }) => request.priority === priority)
+    return [...decided, ...decideSamePriority(inOrder(samePriority, queueInputs), decided.filter(isKept).length, queueInputs)]
   }, [])
 }
 
 /** Decides of requests of one priority. Those that are late go behind all that go before them, wherever these stand. */
-function decideAlike (alike: readonly WaitingRequest[], before: number, facts: QueueFacts): QueueDecision[] {
+function decideSamePriority (samePriority: readonly WaitingRequest[], before: number, queueInputs: QueueInputs): QueueDecision[] {
   const first: QueueDecision[] = []
-  const late = alike.filter((waiting) => {
-    const decided = decide(waiting, before + first.length, 0, facts)
+  const late = samePriority.filter((waiting) => {
+    const decided = decide(waiting, before + first.length, 0, queueInputs)
     const goesBefore = decided.decision.outcome === AdmissionOutcome.InTime || (decided.inputs.promised && isKept(decided))
     if (goesBefore) first.push(decided)
     return !goesBefore
   })
   let aheadLate = 0
   const others = late.map((waiting) => {
-    const decided = decide(waiting, before + first.length, aheadLate, facts)
+    const decided = decide(waiting, before + first.length, aheadLate, queueInputs)
     if (isKept(decided)) aheadLate++
     return decided
   })
   return [...first, ...others]
 }
 
-function decide (waiting: WaitingRequest, aheadInTime: number, aheadLate: number, facts: QueueFacts): QueueDecision {
-  const { handoverMs, lateAtMs, uselessAtMs, returned, promiseDueAtMs, outcome } = waiting
-  const { nowMs, msPerPlace, msPerArrival, rateError, leastMs, promisesDueAtMs } = facts
+function decide (waiting: WaitingRequest, aheadInTime: number, aheadLate: number, queueInputs: QueueInputs): QueueDecision {
+  const { handoverMs, inTimeUntilMs, usefulUntilMs, returned, promiseDueAtMs, outcome } = waiting
+  const { nowMs, msPerPlace, msPerArrival, rateError, minTtftMs, promisesDueAtMs } = queueInputs
   const promised = promiseDueAtMs !== undefined
   const inputs: AdmissionInputs = {
-    leastMs: leastMs(waiting),
+    minTtftMs: minTtftMs(waiting),
     aheadInTime,
     aheadLate,
-    aheadDue: promised ? 0 : countUpTo(promisesDueAtMs, lateAtMs),
+    aheadDue: promised ? 0 : countUpTo(promisesDueAtMs, inTimeUntilMs),
     msPerPlace,
     msPerArrival,
     rateError,
     handoverMs,
-    inTimeLeftMs: lateAtMs - nowMs,
-    usefulLeftMs: uselessAtMs - nowMs,
+    inTimeLeftMs: inTimeUntilMs - nowMs,
+    usefulLeftMs: usefulUntilMs - nowMs,
     returned,
     promised,
     kept: outcome !== undefined,
@@ -69,9 +69,9 @@
 }
 
 /** Those with a promise; then clients that are not ahead of their share; then by first arrival. */
-function inOrder (alike: readonly WaitingRequest[], { isAhead }: QueueFacts): WaitingRequest[] {
-  const rankOf = ({ promiseDueAtMs, request: { client } }: WaitingRequest) => (promiseDueAtMs !== undefined ? 0 : 2) + (isAhead(client) ? 1 : 0)
-  return alike
+function inOrder (samePriority: readonly WaitingRequest[], { isOverShare }: QueueInputs): WaitingRequest[] {
+  const rankOf = ({ promiseDueAtMs, request: { client } }: WaitingRequest) => (promiseDueAtMs !== undefined ? 0 : 2) + (isOverShare(client) ? 1 : 0)
+  return samePriority
     .map((waiting) => ({ waiting, rank: rankOf(waiting) }))
     .sort((a, b) => a.rank - b.rank || a.waiting.firstArrivedAtMs - b.waiting.firstArrivedAtMs)
     .map(({ waiting }) => waiting)
--- a/scheduling/scheduler/src/engineLimits.ts
+++ b/scheduling/scheduler/src/engineLimits.ts
@@ -14,7 +14,7 @@
  */
 export class EngineLimits {
   readonly #opts: EngineLimitsOptions
-  readonly #book: LimitBook
+  readonly #tokenBuckets: LimitBook
 
   constructor (opts: EngineLimitsOptions) {
     this.#opts = opts
@@ -22,20 +22,20 @@
       const perSecond = opts.perSecond?.(engine)
       return perSecond === undefined ? undefined : permitBucket(perSecond, 1, 0)
     }
-    this.#book = new LimitBook({ clock: opts.clock, planOf })
+    this.#tokenBuckets = new LimitBook({ clock: opts.clock, planOf })
   }
 
   /** How long until an engine takes another request; 0 where it does now. */
-  freeInMs (engine: string): number {
-    return this.#opts.perSecond?.(engine) === undefined ? 0 : this.#book.waitMs(engine, 1)
+  waitMs (engine: string): number {
+    return this.#opts.perSecond?.(engine) === undefined ? 0 : this.#tokenBuckets.waitMs(engine, 1)
   }
 
   /** A request was placed on these engines. */
-  notePlaced (engines: readonly string[]): void {
-    new Set(engines).forEach((engine) => this.#book.take(engine, 1))
+  recordPlacement (engines: readonly string[]): void {
+    new Set(engines).forEach((engine) => this.#tokenBuckets.take(engine, 1))
   }
 
   retain (listed: ReadonlySet<string>): void {
-    this.#book.retain((engine) => listed.has(engine))
+    this.#tokenBuckets.retain((engine) => listed.has(engine))
   }
 }
--- a/scheduling/scheduler/src/placementChooser.ts
+++ b/scheduling/scheduler/src/placementChooser.ts
@@ -4,14 +4,14 @@
 import { type ClientShares } from './clientShares.js'
 import { type EngineLimits } from './engineLimits.js'
 import { type PlacementEstimate, type PlacementEstimator } from './placementEstimator.js'
-import { type PlacesLimit } from './placesLimit.js'
+import { type SlotLimit } from './slotLimit.js'
 import { type WaitingRequest } from './waitingQueue.js'
 
 export interface PlacementChooserOptions {
   ledger: ShardLedger
   estimator: PlacementEstimator
   shares: ClientShares
-  placesLimit: PlacesLimit
+  placesLimit: SlotLimit
   /** The route of the shard's model. */
   route: () => RouteSpec | undefined
   /** Engines that fail of late. */
@@ -23,7 +23,7 @@
 export interface ReadyEngine {
   engine: EngineAccount<PrefillAccount>
   /** Its place among the shard's prefill engines. */
-  slot: number
+  poolIndex: number
   freeAtMs: number
   speedFactor: number
 }
@@ -42,21 +42,21 @@
 }
 
 /** A prefill is handed to an engine when the engine is this close to done with the one before. */
-export const HANDOUT_LOOKAHEAD_MS = 25
-const MAX_FITS_TRIED = 3
+export const DISPATCH_LOOKAHEAD_MS = 25
+const MAX_CANDIDATES_TRIED = 3
 /** Prefill work that an engine gets done while a request can wait, about. */
-const WORK_IN_SIGHT_MS = 150
+const BACKLOG_PER_ENGINE_MS = 150
 /** A prefill that fails costs about this much time until it is made again elsewhere. */
 const SUSPECT_PENALTY_MS = 300
-const LEAST_PRESSURE = 0.3
-const MOST_PRESSURE = 2
+const MIN_PRESSURE = 0.3
+const MAX_PRESSURE = 2
 
 /** Chooses which waiting request goes next, and where. */
 export class PlacementChooser {
   readonly #ledger: ShardLedger
   readonly #estimator: PlacementEstimator
   readonly #shares: ClientShares
-  readonly #placesLimit: PlacesLimit
+  readonly #placesLimit: SlotLimit
   readonly #route: () => RouteSpec | undefined
   readonly #isSuspect: (engine: string) => boolean
   readonly #limits: EngineLimits
@@ -74,41 +74,41 @@
   /** The prefill engines that take work and whose version some decode engine serves too, and when each can begin another prefill. */
   readyEngines (nowMs: number): ReadyEngine[] {
     const decodable = new Set(this.#ledger.decodeEngines().map((decode) => this.#ledger.servedVersion(decode, nowMs)))
-    return this.#ledger.prefillEngines().flatMap((engine, slot) => {
+    return this.#ledger.prefillEngines().flatMap((engine, poolIndex) => {
       const version = this.#ledger.servedVersion(engine, nowMs)
       if (version === undefined || !decodable.has(version)) return []
-      return [{ engine, slot, freeAtMs: Math.max(engine.account.freeAtMs(nowMs), this.#permittedAtMs(engine.name, nowMs)), speedFactor: engine.account.speedFactor }]
+      return [{ engine, poolIndex, freeAtMs: Math.max(engine.account.freeAtMs(nowMs), this.#permittedAtMs(engine.name, nowMs)), speedFactor: engine.account.speedFactor }]
     })
   }
 
   /** An engine at its limit is as good as busy until it takes another request; one is not handed out sooner. */
   #permittedAtMs (engine: string, nowMs: number): number {
-    const freeInMs = this.#limits.freeInMs(engine)
-    return freeInMs > 0 ? nowMs + freeInMs + HANDOUT_LOOKAHEAD_MS : Number.NEGATIVE_INFINITY
+    const waitMs = this.#limits.waitMs(engine)
+    return waitMs > 0 ? nowMs + waitMs + DISPATCH_LOOKAHEAD_MS : Number.NEGATIVE_INFINITY
   }
 
   /** How long until some decode engine takes another request, as far as limits go; nothing when there is none that takes work. */
-  decodePermittedInMs ({ request }: WaitingRequest, nowMs: number): number | undefined {
+  decodePermitWaitMs ({ request }: WaitingRequest, nowMs: number): number | undefined {
     const waitsMs = this.#ledger.decodeEngines()
       .filter((decode) => this.#ledger.servedVersion(decode, nowMs) !== undefined && !request.avoid.includes(decode.name))
-      .map(({ name }) => this.#limits.freeInMs(name))
+      .map(({ name }) => this.#limits.waitMs(name))
     return waitsMs.length > 0 ? Math.min(...waitsMs) : undefined
   }
 
   /**
    * The waiting request that makes best use of an engine that is about to be free.
    *
-   * @param waitingMs least prefill work of all that wait
+   * @param queuedPrefillMs least prefill work of all that wait
    */
-  choose (queue: readonly WaitingRequest[], waitingMs: number, nowMs: number): Choice | undefined {
+  choose (queue: readonly WaitingRequest[], queuedPrefillMs: number, nowMs: number): Choice | undefined {
     if (queue.length === 0) return undefined
     const engines = this.readyEngines(nowMs)
-    const handoutUntilMs = nowMs + HANDOUT_LOOKAHEAD_MS
-    if (!engines.some(({ freeAtMs }) => freeAtMs <= handoutUntilMs)) return this.#chooseOwnPrefill(queue, engines, nowMs)
-    const pressure = this.#pressure(queue.length > 1 ? waitingMs : 0, engines.length)
+    const dispatchUntilMs = nowMs + DISPATCH_LOOKAHEAD_MS
+    if (!engines.some(({ freeAtMs }) => freeAtMs <= dispatchUntilMs)) return this.#chooseOwnPrefill(queue, engines, nowMs)
+    const pressure = this.#pressure(queue.length > 1 ? queuedPrefillMs : 0, engines.length)
     const candidates = queue.flatMap((waiting) => {
       const ready = this.#bestEngine(waiting, engines, { pressure, nowMs })
-      return ready && ready.freeAtMs <= handoutUntilMs ? [{ waiting, ready, costMs: this.costMs(waiting, ready, nowMs) }] : []
+      return ready && ready.freeAtMs <= dispatchUntilMs ? [{ waiting, ready, costMs: this.costMs(waiting, ready, nowMs) }] : []
     })
     return this.#firstThatFits(this.#inOrder(candidates, nowMs), nowMs) ?? this.#chooseOwnPrefill(queue, engines, nowMs)
   }
@@ -123,18 +123,18 @@
     const queue = [...waitingRequests].sort((a, b) => b.request.priority - a.request.priority)
     // What the first one does not find, the next seldom does.
     const first = queue.find(({ request }) => request.allowsOwnPrefill)
-    const soonest = first && this.#ownPrefill(first, nowMs)
+    const soonest = first && this.#estimateOwnPrefill(first, nowMs)
     if (!soonest) return undefined
-    const pooledAtMs = this.#pooledEnds(queue, engines, nowMs)
+    const pooledAtMs = this.#pooledFirstTokensMs(queue, engines, nowMs)
     const gaining = queue.findIndex(({ request }, i) => request.allowsOwnPrefill && pooledAtMs[i] > soonest.firstTokenMs)
     if (gaining < 0) return undefined
     const waiting = queue[gaining]
-    const estimate = this.#ownPrefill(waiting, nowMs)
-    return estimate && estimate.firstTokenMs < pooledAtMs[gaining] && estimate.firstTokenMs <= waiting.uselessAtMs ? { waiting, estimate } : undefined
+    const estimate = this.#estimateOwnPrefill(waiting, nowMs)
+    return estimate && estimate.firstTokenMs < pooledAtMs[gaining] && estimate.firstTokenMs <= waiting.usefulUntilMs ? { waiting, estimate } : undefined
   }
 
   /** When each request would have its first token if the prefill engines took them in this order. */
-  #pooledEnds (queue: readonly WaitingRequest[], engines: readonly ReadyEngine[], nowMs: number): number[] {
+  #pooledFirstTokensMs (queue: readonly WaitingRequest[], engines: readonly ReadyEngine[], nowMs: number): number[] {
     if (engines.length === 0) return queue.map(() => Number.POSITIVE_INFINITY)
     let workMs = engines.reduce((sum, { freeAtMs }) => sum + Math.max(0, freeAtMs - nowMs), 0)
     return queue.map((waiting) => {
@@ -145,46 +145,46 @@
     })
   }
 
-  #ownPrefill ({ request }: WaitingRequest, nowMs: number): PlacementEstimate | undefined {
-    return this.#estimator.estimateOwnPrefill(request, { usablePlaces: this.#usablePlaces(request), nowMs })
+  #estimateOwnPrefill ({ request }: WaitingRequest, nowMs: number): PlacementEstimate | undefined {
+    return this.#estimator.estimateOwnPrefill(request, { usableSlots: this.#usableSlots(request), nowMs })
   }
 
   /** The least time to a first token if a decode engine computes the prompt itself, though all may be full now; nothing when none takes work. */
-  leastOwnPrefillMs ({ request }: WaitingRequest, nowMs: number): number | undefined {
+  minOwnPrefillMs ({ request }: WaitingRequest, nowMs: number): number | undefined {
     const timesMs = this.#ledger.decodeEngines().flatMap((decode) => {
       const takesWork = this.#ledger.servedVersion(decode, nowMs) !== undefined && !request.avoid.includes(decode.name)
       const ownMs = takesWork ? this.#estimator.ownPrefillMs(request, decode) : undefined
-      return ownMs === undefined ? [] : [ownMs + this.#limits.freeInMs(decode.name)]
+      return ownMs === undefined ? [] : [ownMs + this.#limits.waitMs(decode.name)]
     })
     return timesMs.length > 0 ? Math.min(...timesMs) : undefined
   }
 
-  #usablePlaces ({ tbtTargetMs }: ReserveRequest): number {
-    return Math.min(this.#placesLimit.places, this.#estimator.usablePlaces(tbtTargetMs, this.#route()))
+  #usableSlots ({ tbtTargetMs }: ReserveRequest): number {
+    return Math.min(this.#placesLimit.slots, this.#estimator.usableSlots(tbtTargetMs, this.#route()))
   }
 
   /** How much more prefill work waits than the engines can do before it is late: from 0.3 when nothing waits, up to 2. */
-  #pressure (waitingMs: number, engineCount: number): number {
-    return Math.min(MOST_PRESSURE, LEAST_PRESSURE + waitingMs / (engineCount * WORK_IN_SIGHT_MS))
+  #pressure (queuedPrefillMs: number, engineCount: number): number {
+    return Math.min(MAX_PRESSURE, MIN_PRESSURE + queuedPrefillMs / (engineCount * BACKLOG_PER_ENGINE_MS))
   }
 
   /** Time that a prefill takes on an engine. Remembered while the request waits; it depends on what is cached there. */
-  costMs ({ request, costsMs }: WaitingRequest, { engine, slot, speedFactor }: ReadyEngine, nowMs: number): number {
-    const costMs = costsMs[slot] ?? this.#estimator.prefillCostMs(request, engine.name, nowMs)
-    costsMs[slot] = costMs
+  costMs ({ request, prefillCostsMs }: WaitingRequest, { engine, poolIndex, speedFactor }: ReadyEngine, nowMs: number): number {
+    const costMs = prefillCostsMs[poolIndex] ?? this.#estimator.prefillCostMs(request, engine.name, nowMs)
+    prefillCostsMs[poolIndex] = costMs
     return costMs * speedFactor
   }
 
   /** The engine with the earliest first token, where work that a cached prefix would save counts as time under pressure. */
   #bestEngine (waiting: WaitingRequest, engines: readonly ReadyEngine[], { pressure, nowMs }: { pressure: number, nowMs: number }): ReadyEngine | undefined {
-    const { request: { avoid }, uselessAtMs, handoverMs } = waiting
+    const { request: { avoid }, usefulUntilMs, handoverMs } = waiting
     let best: ReadyEngine | undefined
     let bestScore = Number.POSITIVE_INFINITY
     engines.forEach((ready) => {
       const costMs = this.costMs(waiting, ready, nowMs)
       const endMs = ready.freeAtMs + costMs
       const score = endMs + pressure * costMs + (this.#isSuspect(ready.engine.name) ? SUSPECT_PENALTY_MS : 0)
-      if (score >= bestScore || endMs + handoverMs > uselessAtMs || (avoid.length > 0 && avoid.includes(ready.engine.name))) return
+      if (score >= bestScore || endMs + handoverMs > usefulUntilMs || (avoid.length > 0 && avoid.includes(ready.engine.name))) return
       best = ready
       bestScore = score
     })
@@ -202,9 +202,9 @@
     const rank = ({ waiting, ready, costMs }: Candidate) => [
       -waiting.request.priority,
       waiting.promiseDueAtMs !== undefined && nowMs >= waiting.promiseDueAtMs ? 0 : 1,
-      ready.freeAtMs + costMs + waiting.handoverMs <= waiting.lateAtMs ? 0 : 1,
+      ready.freeAtMs + costMs + waiting.handoverMs <= waiting.inTimeUntilMs ? 0 : 1,
       waiting.promiseDueAtMs !== undefined ? 0 : 1,
-      this.#shares.isAhead(waiting.request.client, nowMs) ? 1 : 0,
+      this.#shares.isOverShare(waiting.request.client, nowMs) ? 1 : 0,
       waiting.firstArrivedAtMs + costMs,
     ]
     return candidates
@@ -215,11 +215,11 @@
 
   /** The first of the candidates that a decode engine has room for. Few are tried: what one does not find, the next seldom does. */
   #firstThatFits (candidates: readonly Candidate[], nowMs: number): Choice | undefined {
-    for (const { waiting, ready, costMs } of candidates.slice(0, MAX_FITS_TRIED)) {
-      const { request, uselessAtMs } = waiting
+    for (const { waiting, ready, costMs } of candidates.slice(0, MAX_CANDIDATES_TRIED)) {
+      const { request, usefulUntilMs } = waiting
       const part = { prefill: ready.engine, endMs: ready.freeAtMs + costMs, costMs }
-      const estimate = this.#estimator.estimateDecode(request, part, { usablePlaces: this.#usablePlaces(request), objective: this.#route()?.objective, nowMs })
-      if (estimate && estimate.firstTokenMs <= uselessAtMs) return { waiting, estimate }
+      const estimate = this.#estimator.estimateDecode(request, part, { usableSlots: this.#usableSlots(request), objective: this.#route()?.objective, nowMs })
+      if (estimate && estimate.firstTokenMs <= usefulUntilMs) return { waiting, estimate }
     }
     return undefined
   }
--- a/scheduling/scheduler/src/placementEstimator.ts
+++ b/scheduling/scheduler/src/placementEstimator.ts
@@ -2,9 +2,9 @@
 import { type ReserveRequest } from '@reelspan/core.messages'
 import { type DecodeAccount, type DecodeCapacity, type EngineAccount, type PrefillAccount, type ShardLedger } from '@reelspan/scheduling.ledger'
 import { type PrefixIndex } from '@reelspan/scheduling.prefix-index'
-import { type AnswerLengths } from './answerLengths.js'
+import { type AnswerLengthEstimator } from './answerLengthEstimator.js'
 import { type EngineLimits } from './engineLimits.js'
-import { ownPrefillMs, placesWithinTarget, prefillMs, requestKvBytes, transferMs } from '@reelspan/scheduling.shards'
+import { ownPrefillMs, slotsWithinTarget, prefillMs, requestKvBytes, transferMs } from '@reelspan/scheduling.shards'
 
 /** What a placement on a certain pair of engines would come to. Times are on this box's clock. */
 export interface PlacementEstimate {
@@ -27,7 +27,7 @@
 }
 
 export interface DecodeOptions {
-  usablePlaces: number
+  usableSlots: number
   objective?: RouteObjective
   nowMs: number
 }
@@ -35,7 +35,7 @@
 export interface PlacementEstimatorOptions {
   ledger: ShardLedger
   index: PrefixIndex
-  lengths: AnswerLengths
+  lengths: AnswerLengthEstimator
   /** Engines that fail of late. */
   isSuspect: (engine: string) => boolean
   limits: EngineLimits
@@ -50,15 +50,15 @@
  * Room, as a part of an engine, that is worth an availability zone less on the way: about one stream of ten.
  * KV cache takes twice as long between zones, and streams through another zone cost their operators more.
  */
-const FAR_ROOM_SHARE = 0.1
+const REMOTE_ZONE_CAPACITY_PENALTY = 0.1
 /** The same for an engine that computes the prompt itself: about the way of a request and of its first token. */
-const FAR_READER_MS = 20
+const REMOTE_ZONE_PENALTY_MS = 20
 
 /** Estimates placements from the ledger and the prefix index. */
 export class PlacementEstimator {
   readonly #ledger: ShardLedger
   readonly #index: PrefixIndex
-  readonly #lengths: AnswerLengths
+  readonly #lengths: AnswerLengthEstimator
   readonly #isSuspect: (engine: string) => boolean
   readonly #limits: EngineLimits
 
@@ -71,10 +71,10 @@
   }
 
   /** Places of a decode engine that this route may use and that keep the time between tokens within the target. */
-  usablePlaces (tbtTargetMs: number, route?: RouteSpec): number {
+  usableSlots (tbtTargetMs: number, route?: RouteSpec): number {
     const { shard } = this.#ledger
     const shared = Math.max(1, Math.floor(shard.decodePool.placesPerEngine * (route?.poolSharePercent ?? 100) / 100))
-    return Math.min(shared, placesWithinTarget(shard, tbtTargetMs))
+    return Math.min(shared, slotsWithinTarget(shard, tbtTargetMs))
   }
 
   /** Time that the prefill takes on an engine, by what is probably cached there. */
@@ -96,61 +96,61 @@
   }
 
   /** How long the answer lasts on a lightly loaded engine, if it is as long as answers usually are. */
-  usualAnswerMs ({ maxTokens }: ReserveRequest): number {
-    return this.#lengths.usualShare * maxTokens * this.#ledger.shard.spec.decodeStepBaseMs
+  typicalAnswerMs ({ maxTokens }: ReserveRequest): number {
+    return this.#lengths.typicalShare * maxTokens * this.#ledger.shard.spec.decodeStepBaseMs
   }
 
   /** Completes an estimate with the decode engine that has most room when the prefill ends, if one has any. Those that fail of late come last. */
-  estimateDecode (request: ReserveRequest, part: PrefillEstimate, { usablePlaces, objective, nowMs }: DecodeOptions): PlacementEstimate | undefined {
+  estimateDecode (request: ReserveRequest, part: PrefillEstimate, { usableSlots, objective, nowMs }: DecodeOptions): PlacementEstimate | undefined {
     const { shard } = this.#ledger
     const { spec, decodePool } = shard
-    const kvBytes = requestKvBytes(shard, request, this.#lengths.usualShare)
-    const capacity = { places: usablePlaces, kvBytes: decodePool.kvBytesPerEngine }
+    const kvBytes = requestKvBytes(shard, request, this.#lengths.typicalShare)
+    const capacity = { slots: usableSlots, kvBytes: decodePool.kvBytesPerEngine }
     const version = this.#ledger.servedVersion(part.prefill, nowMs)
     // KV cache of one version means nothing to another.
-    const engines = this.#ledger.decodeEngines().filter((decode) => this.#ledger.servedVersion(decode, nowMs) === version && this.#takes(decode, request))
+    const engines = this.#ledger.decodeEngines().filter((decode) => this.#ledger.servedVersion(decode, nowMs) === version && this.#accepts(decode, request))
     // A place that is free only by the time the prefill ends may still be lost to a fault: some routes do not bet on it.
-    const betsOnEnds = objective !== RouteObjective.WastedPrefill
+    const countsEndingStreams = objective !== RouteObjective.WastedPrefill
     const zones = [part.prefill.availabilityZone, request.availabilityZone]
-    const roomiestOf = (candidates: readonly EngineAccount<DecodeAccount>[]) =>
-      findRoomiest(candidates, { kvBytes, capacity, zones, freeOf: ({ account }) => account.freeNow(capacity) }) ??
-      (betsOnEnds ? findRoomiest(candidates, { kvBytes, capacity, zones, freeOf: ({ account }) => account.freeAt(part.endMs, capacity) }) : undefined)
-    const roomiest = roomiestOf(engines.filter(({ name }) => !this.#isSuspect(name))) ?? roomiestOf(engines)
-    if (!roomiest) return undefined
-    const { decode, free } = roomiest
+    const mostFreeOf = (candidates: readonly EngineAccount<DecodeAccount>[]) =>
+      findMostFree(candidates, { kvBytes, capacity, zones, freeOf: ({ account }) => account.freeNow(capacity) }) ??
+      (countsEndingStreams ? findMostFree(candidates, { kvBytes, capacity, zones, freeOf: ({ account }) => account.freeAt(part.endMs, capacity) }) : undefined)
+    const mostFree = mostFreeOf(engines.filter(({ name }) => !this.#isSuspect(name))) ?? mostFreeOf(engines)
+    if (!mostFree) return undefined
+    const { decode, free } = mostFree
     const linkFreeMs = Math.max(part.endMs + spec.prefillLatencyMs, part.prefill.account.linkFreeAtMs, decode.account.linkFreeAtMs)
     const importEndMs = linkFreeMs + transferMs(shard, request.promptTokens)
-    const times = this.#streamTimes(request, importEndMs, usablePlaces, usablePlaces - free.places + 1)
+    const times = this.#streamTimes(request, importEndMs, usableSlots, usableSlots - free.slots + 1)
     return { prefill: part.prefill, decode, ...times, costMs: part.costMs, kvBytes }
   }
 
   /** The estimate with the decode engine that would be done first with computing the prompt itself, of those that have room now. */
-  estimateOwnPrefill (request: ReserveRequest, { usablePlaces, nowMs }: DecodeOptions): PlacementEstimate | undefined {
+  estimateOwnPrefill (request: ReserveRequest, { usableSlots, nowMs }: DecodeOptions): PlacementEstimate | undefined {
     const { shard } = this.#ledger
-    const kvBytes = requestKvBytes(shard, request, this.#lengths.usualShare)
-    const capacity = { places: usablePlaces, kvBytes: shard.decodePool.kvBytesPerEngine }
+    const kvBytes = requestKvBytes(shard, request, this.#lengths.typicalShare)
+    const capacity = { slots: usableSlots, kvBytes: shard.decodePool.kvBytesPerEngine }
     const estimates = this.#ledger.decodeEngines()
-      .filter((decode) => this.#ledger.servedVersion(decode, nowMs) !== undefined && this.#takes(decode, request) && !this.#isSuspect(decode.name))
+      .filter((decode) => this.#ledger.servedVersion(decode, nowMs) !== undefined && this.#accepts(decode, request) && !this.#isSuspect(decode.name))
       .flatMap((decode): PlacementEstimate[] => {
         const costMs = this.ownPrefillMs(request, decode)
         const free = decode.account.freeNow(capacity)
-        if (costMs === undefined || !hasRoom(free, kvBytes)) return []
+        if (costMs === undefined || !fits(free, kvBytes)) return []
         const endMs = decode.account.ownPrefills.freeAtMs(nowMs) + costMs
-        return [{ prefill: decode, decode, ...this.#streamTimes(request, endMs, usablePlaces, usablePlaces - free.places + 1), costMs, kvBytes }]
+        return [{ prefill: decode, decode, ...this.#streamTimes(request, endMs, usableSlots, usableSlots - free.slots + 1), costMs, kvBytes }]
       })
-    const lateMs = ({ decode, firstTokenMs }: PlacementEstimate) => firstTokenMs + FAR_READER_MS * farAway(decode, [request.availabilityZone])
-    return estimates.sort((a, b) => lateMs(a) - lateMs(b))[0]
+    const penalizedFirstTokenMs = ({ decode, firstTokenMs }: PlacementEstimate) => firstTokenMs + REMOTE_ZONE_PENALTY_MS * countRemoteZones(decode, [request.availabilityZone])
+    return estimates.sort((a, b) => penalizedFirstTokenMs(a) - penalizedFirstTokenMs(b))[0]
   }
 
   /** Whether an engine takes the request at all, room aside. */
-  #takes ({ name }: EngineAccount<unknown>, { avoid }: ReserveRequest): boolean {
-    return !avoid.includes(name) && this.#limits.freeInMs(name) === 0
+  #accepts ({ name }: EngineAccount<unknown>, { avoid }: ReserveRequest): boolean {
+    return !avoid.includes(name) && this.#limits.waitMs(name) === 0
   }
 
   /** When a stream begins and surely has ended, on an engine that has its KV cache from a time on. */
-  #streamTimes ({ maxTokens }: ReserveRequest, importEndMs: number, usablePlaces: number, batch: number) {
+  #streamTimes ({ maxTokens }: ReserveRequest, importEndMs: number, usableSlots: number, batch: number) {
     const { spec } = this.#ledger.shard
-    const fullStepMs = spec.decodeStepBaseMs + spec.decodeStepPerRequestMs * usablePlaces
+    const fullStepMs = spec.decodeStepBaseMs + spec.decodeStepPerRequestMs * usableSlots
     return {
       importEndMs,
       firstTokenMs: importEndMs + STEPS_TO_FIRST_TOKEN * (spec.decodeStepBaseMs + spec.decodeStepPerRequestMs * batch),
@@ -159,7 +159,7 @@
   }
 }
 
-interface RoomSearch {
+interface CapacitySearch {
   kvBytes: number
   capacity: DecodeCapacity
   /** Availability zones that the stream has to do with: where its prompt is computed, and where its owner is. */
@@ -168,25 +168,25 @@
 }
 
 /** The engine with most room, among those that have a place and the memory for it. Each zone that it is not in counts as if it had less. */
-function findRoomiest (engines: readonly EngineAccount<DecodeAccount>[], { kvBytes, capacity, zones, freeOf }: RoomSearch) {
+function findMostFree (engines: readonly EngineAccount<DecodeAccount>[], { kvBytes, capacity, zones, freeOf }: CapacitySearch) {
   let best: { decode: EngineAccount<DecodeAccount>, free: DecodeCapacity } | undefined
-  let bestRoom = Number.NEGATIVE_INFINITY
+  let bestHeadroom = Number.NEGATIVE_INFINITY
   engines.forEach((decode) => {
     const free = freeOf(decode)
-    if (!hasRoom(free, kvBytes)) return
-    const room = Math.min(free.places / capacity.places, free.kvBytes / capacity.kvBytes) - FAR_ROOM_SHARE * farAway(decode, zones)
-    if (room <= bestRoom) return
+    if (!fits(free, kvBytes)) return
+    const headroom = Math.min(free.slots / capacity.slots, free.kvBytes / capacity.kvBytes) - REMOTE_ZONE_CAPACITY_PENALTY * countRemoteZones(decode, zones)
+    if (headroom <= bestHeadroom) return
     best = { decode, free }
-    bestRoom = room
+    bestHeadroom = headroom
   })
   return best
 }
 
-function hasRoom (free: DecodeCapacity, kvBytes: number): boolean {
-  return free.places >= 1 && free.kvBytes >= kvBytes
+function fits (free: DecodeCapacity, kvBytes: number): boolean {
+  return free.slots >= 1 && free.kvBytes >= kvBytes
 }
 
 /** How many of the zones, as far as they are known, an engine is not in. */
-function farAway ({ availabilityZone }: EngineAccount<unknown>, zones: readonly (string | undefined)[]): number {
+function countRemoteZones ({ availabilityZone }: EngineAccount<unknown>, zones: readonly (string | undefined)[]): number {
   return zones.filter((zone) => zone !== undefined && zone !== availabilityZone).length
 }
--- a/scheduling/scheduler/src/placementLessons.ts
+++ b/scheduling/scheduler/src/placementObservations.ts
@@ -1,30 +1,30 @@
 import { isOwnPrefill, type PlacementReport } from '@reelspan/core.messages'
 import { type LedgerEntry, type ShardLedger } from '@reelspan/scheduling.ledger'
-import { AnswerLengths } from './answerLengths.js'
-import { PlacesLimit } from './placesLimit.js'
+import { AnswerLengthEstimator } from './answerLengthEstimator.js'
+import { SlotLimit } from './slotLimit.js'
 import { QuantileEstimator } from './quantileEstimator.js'
 import { type ObservedLoad, ShardLoad } from './shardLoad.js'
 
 /** First guess of how much later than estimated first tokens come. */
-const FIRST_PATH_MS = 10
+const INITIAL_TTFT_ERROR_MS = 10
 
 /** What the requests take of the engines, and whether decode engines could compute prompts. */
-export type LearntLoad = ObservedLoad & {
+export type ShardLoadEstimate = ObservedLoad & {
   /** Time of a decode engine that a prompt takes which it computes itself; nothing where none can. */
   ownPrefillMs?: number
 }
 
 /** What is learnt from placements of one shard, as they are made and as they end. */
-export class PlacementLessons {
-  readonly lengths = new AnswerLengths()
-  readonly placesLimit: PlacesLimit
+export class PlacementObservations {
+  readonly lengths = new AnswerLengthEstimator()
+  readonly placesLimit: SlotLimit
   readonly #ledger: ShardLedger
   readonly #load = new ShardLoad()
-  readonly #ttftError = new QuantileEstimator({ quantile: 0.85, firstMs: FIRST_PATH_MS, minMs: 5, maxMs: 60 })
+  readonly #ttftError = new QuantileEstimator({ quantile: 0.85, firstMs: INITIAL_TTFT_ERROR_MS, minMs: 5, maxMs: 60 })
 
   constructor (ledger: ShardLedger) {
     this.#ledger = ledger
-    this.placesLimit = new PlacesLimit(ledger.shard.decodePool.placesPerEngine)
+    this.placesLimit = new SlotLimit(ledger.shard.decodePool.placesPerEngine)
   }
 
   /** How much later than estimated first tokens come, for most. */
@@ -33,8 +33,8 @@
   }
 
   /** A request came for the first time. */
-  noteArrival (nowMs: number): void {
-    this.#load.noteArrival(nowMs)
+  recordArrival (nowMs: number): void {
+    this.#load.recordArrival(nowMs)
   }
 
   /**
@@ -43,21 +43,21 @@
    * @param prefillMs the time that its prompt would take of a prefill engine, whoever computes it
    * @param usualAnswerMs how long its answer lasts if it is as long as answers usually are
    */
-  notePlaced ({ prefillMs, usualAnswerMs, kvBytes }: { prefillMs: number, usualAnswerMs: number, kvBytes: number }): void {
-    this.#load.notePlaced(prefillMs, this.#fillOf(kvBytes) * usualAnswerMs)
+  recordPlacement ({ prefillMs, typicalAnswerMs, kvBytes }: { prefillMs: number, typicalAnswerMs: number, kvBytes: number }): void {
+    this.#load.recordPlacement(prefillMs, this.#engineShareOf(kvBytes) * typicalAnswerMs)
   }
 
   /** An answer is whole. */
-  noteEnded (entry: LedgerEntry, report: PlacementReport, nowMs: number): void {
-    this.#load.noteEnded(this.#fillOf(entry.kvBytes) * Math.max(0, nowMs - entry.importEndMs))
+  recordCompletion (entry: LedgerEntry, report: PlacementReport, nowMs: number): void {
+    this.#load.recordCompletion(this.#engineShareOf(entry.kvBytes) * Math.max(0, nowMs - entry.importEndMs))
     // What a decode engine computes itself has a speed of its own.
-    if (!isOwnPrefill(entry)) this.#ttftError.learn(report.ttftErrorMs)
-    this.lengths.learn(report.completionTokens, entry.maxTokens)
-    this.placesLimit.learn(report.tbtP50Ms, entry.tbtTargetMs)
+    if (!isOwnPrefill(entry)) this.#ttftError.observe(report.ttftErrorMs)
+    this.lengths.observe(report.completionTokens, entry.maxTokens)
+    this.placesLimit.observe(report.tbtP50Ms, entry.tbtTargetMs)
   }
 
   /** Nothing until enough requests were seen. */
-  observedLoad (nowMs: number): LearntLoad | undefined {
+  observedLoad (nowMs: number): ShardLoadEstimate | undefined {
     const { prefillTokensPerSecond, decodePrefillTokensPerSecond } = this.#ledger.shard.spec
     const load = this.#load.observed(nowMs)
     return load && { ...load, ownPrefillMs: decodePrefillTokensPerSecond && load.prefillMs * prefillTokensPerSecond / decodePrefillTokensPerSecond }
@@ -66,13 +66,13 @@
   describe () {
     return {
       ttftErrorMs: Math.round(this.ttftErrorMs),
-      placesLimit: this.placesLimit.places,
-      usualAnswerShare: Number(this.lengths.usualShare.toFixed(2)),
+      placesLimit: this.placesLimit.slots,
+      usualAnswerShare: Number(this.lengths.typicalShare.toFixed(2)),
     }
   }
 
   /** The part of a decode engine that a request fills, by its memory or its place. */
-  #fillOf (kvBytes: number): number {
+  #engineShareOf (kvBytes: number): number {
     const { kvBytesPerEngine, placesPerEngine } = this.#ledger.shard.decodePool
     return Math.max(kvBytes / kvBytesPerEngine, 1 / placesPerEngine)
   }
--- a/scheduling/scheduler/src/placementRate.ts
+++ b/scheduling/scheduler/src/placementRate.ts
@@ -3,32 +3,32 @@
 /** Placements and arrivals are counted over this time: some tens of them on a busy shard, and a burst shows within it. */
 const WINDOW_MS = 2000
 /** Fewer placements than this say little, unless requests waited for the whole window. */
-const FEWEST = 3
+const MIN_SAMPLES = 3
 
 /** A rate that was known when a queue emptied says something of the next queue for this long: bursts come some seconds apart. */
-const MEMORY_MS = 10_000
+const LAST_RATE_LIFE_MS = 10_000
 /** Standard error of what is remembered or nearly uncounted. */
-const MOST_ERROR = 0.5
+const MAX_ERROR = 0.5
 
 /** How fast places become free while requests wait for them, and how fast new requests come. */
 export class PlacementRate {
   readonly #placed = new RecentEvents(WINDOW_MS)
   readonly #arrived = new RecentEvents(WINDOW_MS)
   #idleUntilMs = 0
-  #known?: { msPerPlace: number, atMs: number }
+  #lastKnown?: { msPerPlace: number, atMs: number }
 
   /** A request was placed. */
-  note (nowMs: number): void {
-    this.#placed.note(nowMs)
+  recordPlacement (nowMs: number): void {
+    this.#placed.record(nowMs)
   }
 
   /** A request came for the first time. */
-  noteArrival (nowMs: number): void {
-    this.#arrived.note(nowMs)
+  recordArrival (nowMs: number): void {
+    this.#arrived.record(nowMs)
   }
 
   /** Nothing waits: placements are as fast as requests come and say nothing of the engines. */
-  noteIdle (nowMs: number): void {
+  recordIdle (nowMs: number): void {
     this.#idleUntilMs = nowMs
   }
 
@@ -37,28 +37,28 @@
     const sinceMs = this.#waitingSinceMs(nowMs)
     const waitedMs = nowMs - sinceMs
     const count = this.#placed.countSince(sinceMs, nowMs)
-    if (count < FEWEST && waitedMs < WINDOW_MS) return this.#remembered(waitedMs / (count + 1), nowMs)
+    if (count < MIN_SAMPLES && waitedMs < WINDOW_MS) return this.#lastKnownMsPerPlace(waitedMs / (count + 1), nowMs)
     const msPerPlace = waitedMs / Math.max(1, count)
-    this.#known = { msPerPlace, atMs: nowMs }
+    this.#lastKnown = { msPerPlace, atMs: nowMs }
     return msPerPlace
   }
 
   /** Time from one new request to the next, or nothing when it is not known. */
   msPerArrival (nowMs: number): number | undefined {
     const count = this.#arrived.countSince(nowMs - WINDOW_MS, nowMs)
-    return count < FEWEST ? undefined : WINDOW_MS / count
+    return count < MIN_SAMPLES ? undefined : WINDOW_MS / count
   }
 
   /** Standard error of the time per place, as a part of it: the fewer were counted, the larger. */
   error (nowMs: number): number {
     const count = this.#placed.countSince(this.#waitingSinceMs(nowMs), nowMs)
-    return count < FEWEST ? MOST_ERROR : Math.min(MOST_ERROR, 1 / Math.sqrt(count))
+    return count < MIN_SAMPLES ? MAX_ERROR : Math.min(MAX_ERROR, 1 / Math.sqrt(count))
   }
 
   /** What was known of the last queue, unless places come more slowly than that already. */
-  #remembered (leastMs: number, nowMs: number): number {
-    const known = this.#known && nowMs - this.#known.atMs <= MEMORY_MS ? this.#known.msPerPlace : 0
-    return Math.max(known, leastMs)
+  #lastKnownMsPerPlace (minMs: number, nowMs: number): number {
+    const known = this.#lastKnown && nowMs - this.#lastKnown.atMs <= LAST_RATE_LIFE_MS ? this.#lastKnown.msPerPlace : 0
+    return Math.max(known, minMs)
   }
 
   #waitingSinceMs (nowMs: number): number {
--- a/scheduling/scheduler/src/quantileEstimator.ts
+++ b/scheduling/scheduler/src/quantileEstimator.ts
@@ -22,9 +22,9 @@
     return this.#valueMs
   }
 
-  learn (sampleMs: number): void {
+  observe (sampleMs: number): void {
     const { quantile, minMs, maxMs } = this.#opts
-    const moved = this.#valueMs + STEP_MS * (sampleMs > this.#valueMs ? quantile : quantile - 1)
-    this.#valueMs = Math.min(maxMs, Math.max(minMs, moved))
+    const adjusted = this.#valueMs + STEP_MS * (sampleMs > this.#valueMs ? quantile : quantile - 1)
+    this.#valueMs = Math.min(maxMs, Math.max(minMs, adjusted))
   }
 }
--- a/scheduling/scheduler/src/queueForecast.ts
+++ b/scheduling/scheduler/src/queueForecast.ts
@@ -16,7 +16,7 @@
   }
 
   /** Least prefill work of all that wait. */
-  waitingWorkMs (waiting: readonly WaitingRequest[], nowMs: number): number {
+  queuedPrefillMs (waiting: readonly WaitingRequest[], nowMs: number): number {
     const { chooser } = this.#opts
     const engines = chooser.readyEngines(nowMs)
     if (engines.length === 0) return 0
@@ -24,16 +24,16 @@
   }
 
   /** Least time to a first token; nothing when no engine takes work. */
-  leastMs (waiting: WaitingRequest, engines: readonly ReadyEngine[], nowMs: number): number | undefined {
+  minTtftMs (waiting: WaitingRequest, engines: readonly ReadyEngine[], nowMs: number): number | undefined {
     const { chooser, ledger } = this.#opts
     const { request: { avoid }, handoverMs } = waiting
-    const permittedInMs = chooser.decodePermittedInMs(waiting, nowMs)
+    const permitWaitMs = chooser.decodePermitWaitMs(waiting, nowMs)
     const usable = engines.filter(({ engine }) => !avoid.includes(engine.name))
-    if (permittedInMs !== undefined && usable.length > 0) {
-      const endsMs = usable.map((ready) => Math.max(permittedInMs, ready.freeAtMs - nowMs + chooser.costMs(waiting, ready, nowMs)))
+    if (permitWaitMs !== undefined && usable.length > 0) {
+      const endsMs = usable.map((ready) => Math.max(permitWaitMs, ready.freeAtMs - nowMs + chooser.costMs(waiting, ready, nowMs)))
       return Math.min(...endsMs) + handoverMs
     }
     // A shard that was just taken over may have room as soon as its engines report.
-    return chooser.leastOwnPrefillMs(waiting, nowMs) ?? (ledger.awaitsReports ? handoverMs : undefined)
+    return chooser.minOwnPrefillMs(waiting, nowMs) ?? (ledger.awaitsFirstReports ? handoverMs : undefined)
   }
 }
--- a/scheduling/scheduler/src/recentEvents.ts
+++ b/scheduling/scheduler/src/recentEvents.ts
@@ -7,18 +7,18 @@
     this.windowMs = windowMs
   }
 
-  note (nowMs: number): void {
-    this.#forget(nowMs)
+  record (nowMs: number): void {
+    this.#expire(nowMs)
     this.#atMs.push(nowMs)
   }
 
   /** Events after a time, as far back as the window reaches. */
   countSince (sinceMs: number, nowMs: number): number {
-    this.#forget(nowMs)
+    this.#expire(nowMs)
     return this.#atMs.filter((atMs) => atMs > sinceMs).length
   }
 
-  #forget (nowMs: number): void {
+  #expire (nowMs: number): void {
     this.#atMs = this.#atMs.filter((atMs) => atMs > nowMs - this.windowMs)
   }
 }
--- a/scheduling/scheduler/src/returnCalendar.ts
+++ b/scheduling/scheduler/src/retrySchedule.ts
@@ -1,4 +1,4 @@
-export interface ReturnCalendarOptions {
+export interface RetryScheduleOptions {
   /** The shortest time to return. */
   minDelayMs: number
   /** The longest time to return. */
@@ -11,15 +11,15 @@
   /** When its caller first tried. */
   firstArrivedAtMs: number
   /** Until a place is expected behind all that wait now. */
-  placeInMs: number
+  expectedWaitMs: number
   /** From its place to the next that can be promised. */
-  costMs: number
+  intervalMs: number
   /** The longest time to return that its caller honours. */
-  honouredMs: number
+  maxHonouredDelayMs: number
 }
 
 /** What is remembered of a refused request. */
-export interface BookedReturn {
+export interface ScheduledRetry {
   firstArrivedAtMs: number
   dueAtMs: number
   /** Capacity is kept for it. */
@@ -27,65 +27,65 @@
 }
 
 /** A returning request may come this much early or late: the way to its box and a new connection, and callers that wait for the next full second. */
-const EARLY_MS = 50
-const LATE_MS = 1500
+const EARLY_TOLERANCE_MS = 50
+const LATE_TOLERANCE_MS = 1500
 
 /**
  * Gives refused requests times to return, one after the other in the order in
  * which they came, and keeps capacity for them. Who would have to wait longer
  * than its caller does gets no promise: it is told to come as late as it can.
  */
-export class ReturnCalendar {
-  readonly #opts: ReturnCalendarOptions
-  readonly #booked = new Map<string, BookedReturn>()
-  #bookedUntilMs = 0
+export class RetrySchedule {
+  readonly #opts: RetryScheduleOptions
+  readonly #retries = new Map<string, ScheduledRetry>()
+  #reservedUntilMs = 0
   #nextExpiryMs = Number.POSITIVE_INFINITY
 
-  constructor (opts: ReturnCalendarOptions) {
+  constructor (opts: RetryScheduleOptions) {
     this.#opts = opts
   }
 
   get size (): number {
-    return this.#booked.size
+    return this.#retries.size
   }
 
   /** Books the next free time. Answers with the delay after which to return. */
-  book ({ returnId, firstArrivedAtMs, placeInMs, costMs, honouredMs }: RefusedRequest, nowMs: number): number {
+  schedule ({ returnId, firstArrivedAtMs, expectedWaitMs, intervalMs, maxHonouredDelayMs }: RefusedRequest, nowMs: number): number {
     const { minDelayMs, maxDelayMs } = this.#opts
-    const longestMs = Math.min(maxDelayMs, honouredMs)
-    const placeAtMs = Math.max(this.#bookedUntilMs, nowMs + Math.max(minDelayMs, Math.min(placeInMs, longestMs)))
-    const promised = placeAtMs - nowMs <= longestMs
-    if (promised) this.#bookedUntilMs = placeAtMs + costMs
-    const dueAtMs = promised ? placeAtMs : nowMs + longestMs
-    this.#booked.set(returnId, { firstArrivedAtMs, dueAtMs, promised })
-    this.#nextExpiryMs = Math.min(this.#nextExpiryMs, dueAtMs + LATE_MS)
+    const maxDelayUsedMs = Math.min(maxDelayMs, maxHonouredDelayMs)
+    const slotAtMs = Math.max(this.#reservedUntilMs, nowMs + Math.max(minDelayMs, Math.min(expectedWaitMs, maxDelayUsedMs)))
+    const promised = slotAtMs - nowMs <= maxDelayUsedMs
+    if (promised) this.#reservedUntilMs = slotAtMs + intervalMs
+    const dueAtMs = promised ? slotAtMs : nowMs + maxDelayUsedMs
+    this.#retries.set(returnId, { firstArrivedAtMs, dueAtMs, promised })
+    this.#nextExpiryMs = Math.min(this.#nextExpiryMs, dueAtMs + LATE_TOLERANCE_MS)
     return dueAtMs - nowMs
   }
 
   /** What was booked for a request that comes back when it was told to. */
-  due (returnId: string, nowMs: number): BookedReturn | undefined {
-    const booked = this.#booked.get(returnId)
-    return booked && nowMs >= booked.dueAtMs - EARLY_MS && nowMs <= booked.dueAtMs + LATE_MS ? booked : undefined
+  findDue (returnId: string, nowMs: number): ScheduledRetry | undefined {
+    const retry = this.#retries.get(returnId)
+    return retry && nowMs >= retry.dueAtMs - EARLY_TOLERANCE_MS && nowMs <= retry.dueAtMs + LATE_TOLERANCE_MS ? retry : undefined
   }
 
   /** When requests are yet to come back for places that they were promised, sorted. */
   promisesDueAtMs (nowMs: number): number[] {
-    return [...this.#booked.values()]
+    return [...this.#retries.values()]
       .filter(({ promised, dueAtMs }) => promised && dueAtMs > nowMs)
       .map(({ dueAtMs }) => dueAtMs)
       .sort((a, b) => a - b)
   }
 
-  forget (returnId: string): void {
-    this.#booked.delete(returnId)
+  remove (returnId: string): void {
+    this.#retries.delete(returnId)
   }
 
   expire (nowMs: number): void {
     if (nowMs < this.#nextExpiryMs) return
-    this.#booked.forEach(({ dueAtMs }, returnId) => {
-      if (dueAtMs + LATE_MS < nowMs) this.#booked.delete(returnId)
+    this.#retries.forEach(({ dueAtMs }, returnId) => {
+      if (dueAtMs + LATE_TOLERANCE_MS < nowMs) this.#retries.delete(returnId)
     })
-    const expiriesMs = [...this.#booked.values()].map(({ dueAtMs }) => dueAtMs + LATE_MS)
+    const expiriesMs = [...this.#retries.values()].map(({ dueAtMs }) => dueAtMs + LATE_TOLERANCE_MS)
     this.#nextExpiryMs = Math.min(Number.POSITIVE_INFINITY, ...expiriesMs.map((atMs) => Math.max(atMs, nowMs + 1)))
   }
 }
--- a/scheduling/scheduler/src/shardScheduler.ts
+++ b/scheduling/scheduler/src/shardScheduler.ts
@@ -11,13 +11,13 @@
 import { decideQueue, type QueueDecision } from './decideQueue.js'
 import { describeEngines } from './describeEngines.js'
 import { EngineLimits } from './engineLimits.js'
-import { HANDOUT_LOOKAHEAD_MS, PlacementChooser } from './placementChooser.js'
+import { DISPATCH_LOOKAHEAD_MS, PlacementChooser } from './placementChooser.js'
 import { type PlacementEstimate, PlacementEstimator } from './placementEstimator.js'
-import { type LearntLoad, PlacementLessons } from './placementLessons.js'
+import { type ShardLoadEstimate, PlacementObservations } from './placementObservations.js'
 import { PlacementRate } from './placementRate.js'
 import { QueueForecast } from './queueForecast.js'
-import { RefusalBooking } from './refusalBooking.js'
-import { ReturnCalendar } from './returnCalendar.js'
+import { RefusalBuilder } from './refusalBuilder.js'
+import { RetrySchedule } from './retrySchedule.js'
 import { WaitingQueue, type WaitingRequest } from './waitingQueue.js'
 
 export interface ShardSchedulerOptions {
@@ -48,12 +48,12 @@
 const RESERVATION_GRACE_MS = 1000
 const MAX_WAITING = 2000
 /** Waiting requests are looked at again at least this often. */
-const MAX_SLEEP_MS = 10
+const MAX_CYCLE_INTERVAL_MS = 10
 /** Part of the time in which it is of use that a promised request waits for a place that nobody in time needs. */
 const PROMISE_DUE_SHARE = 0.25
 /** Engines report, and callers connect anew, within about this time: sooner, little has changed. */
-const RETURN_MIN_MS = 500
-const RETURN_MAX_MS = 30_000
+const MIN_RETRY_DELAY_MS = 500
+const MAX_RETRY_DELAY_MS = 30_000
 
 /** Places requests on one shard: holds them until an engine can begin at once, best use first, and refuses what would be late. */
 export class ShardScheduler {
@@ -62,22 +62,22 @@
   readonly #tasks: TaskGroup
   readonly #estimator: PlacementEstimator
   readonly #shares = new ClientShares()
-  readonly #lessons: PlacementLessons
+  readonly #observations: PlacementObservations
   readonly #rate = new PlacementRate()
   readonly #chooser: PlacementChooser
-  readonly #calendar = new ReturnCalendar({ minDelayMs: RETURN_MIN_MS, maxDelayMs: RETURN_MAX_MS })
+  readonly #retrySchedule = new RetrySchedule({ minDelayMs: MIN_RETRY_DELAY_MS, maxDelayMs: MAX_RETRY_DELAY_MS })
   readonly #waiting = new WaitingQueue()
   readonly #forecast: QueueForecast
-  readonly #refusals: RefusalBooking
+  readonly #refusals: RefusalBuilder
   readonly #health: UpstreamHealth
   readonly #limits: EngineLimits
-  #wake?: AbortController
+  #nextCycle?: AbortController
 
   constructor (opts: ShardSchedulerOptions) {
     this.#opts = opts
     this.ledger = new ShardLedger(opts.shard, { reportLifeMs: opts.reportLifeMs })
-    this.#lessons = new PlacementLessons(this.ledger)
-    const { lengths, placesLimit } = this.#lessons
+    this.#observations = new PlacementObservations(this.ledger)
+    const { lengths, placesLimit } = this.#observations
     this.#health = new UpstreamHealth(opts)
     this.#limits = new EngineLimits({ clock: opts.clock, perSecond: opts.limitPerSecond })
     const isSuspect = (engine: string) => this.#health.isSuspect(engine)
@@ -85,7 +85,7 @@
     this.#estimator = new PlacementEstimator({ ledger: this.ledger, index: opts.index, lengths, isSuspect, limits })
     this.#chooser = new PlacementChooser({ ledger: this.ledger, estimator: this.#estimator, shares: this.#shares, placesLimit, route: opts.route, isSuspect, limits })
     this.#forecast = new QueueForecast({ ledger: this.ledger, chooser: this.#chooser })
-    this.#refusals = new RefusalBooking({ chooser: this.#chooser, estimator: this.#estimator, rate: this.#rate, calendar: this.#calendar })
+    this.#refusals = new RefusalBuilder({ chooser: this.#chooser, estimator: this.#estimator, rate: this.#rate, retrySchedule: this.#retrySchedule })
     this.#tasks = new TaskGroup(opts.clock, opts.onTaskError)
   }
 
@@ -100,9 +100,9 @@
     const listed = new Set(this.ledger.allEngines().map(({ name }) => name))
     this.#health.retain(listed)
     this.#limits.retain(listed)
-    before.filter(({ name }) => !listed.has(name)).forEach(({ name }) => this.#opts.index.forgetEngine(name))
-    this.#waiting.all().forEach((waiting) => { waiting.costsMs = [] })
-    this.#pump()
+    before.filter(({ name }) => !listed.has(name)).forEach(({ name }) => this.#opts.index.removeEngine(name))
+    this.#waiting.all().forEach((waiting) => { waiting.prefillCostsMs = [] })
+    this.#runCycle()
   }
 
   async stop (): Promise<void> {
@@ -113,42 +113,42 @@
   /** Waits until the request can be placed, or until it is clear that this will be too late. */
   reserve (request: ReserveRequest): Promise<PlacementAnswer> {
     const nowMs = this.#opts.clock.nowMs()
-    const back = this.#calendar.due(request.returnId, nowMs)
-    const firstArrivedAtMs = back?.firstArrivedAtMs ?? nowMs
+    const retry = this.#retrySchedule.findDue(request.returnId, nowMs)
+    const firstArrivedAtMs = retry?.firstArrivedAtMs ?? nowMs
     if (this.#waiting.size >= MAX_WAITING) return Promise.resolve(this.#refusal({ request, firstArrivedAtMs }, 'too many requests wait'))
-    if (!back) this.#noteArrival(nowMs)
-    if (this.#waiting.size === 0) this.#rate.noteIdle(nowMs)
-    const leftMs = request.ttftLeftMs - this.#lessons.ttftErrorMs
+    if (!retry) this.#recordArrival(nowMs)
+    if (this.#waiting.size === 0) this.#rate.recordIdle(nowMs)
+    const leftMs = request.ttftLeftMs - this.#observations.ttftErrorMs
     const usefulMs = Math.min(Math.max(leftMs, request.patienceMs ?? 0), request.deadlineMs)
     return new Promise((resolve) => {
       this.#waiting.add({
         request,
         resolve,
         firstArrivedAtMs,
-        lateAtMs: firstArrivedAtMs + leftMs,
-        uselessAtMs: nowMs + usefulMs,
-        returned: back !== undefined,
-        promiseDueAtMs: back?.promised ? nowMs + PROMISE_DUE_SHARE * usefulMs : undefined,
+        inTimeUntilMs: firstArrivedAtMs + leftMs,
+        usefulUntilMs: nowMs + usefulMs,
+        returned: retry !== undefined,
+        promiseDueAtMs: retry?.promised ? nowMs + PROMISE_DUE_SHARE * usefulMs : undefined,
         handoverMs: this.#estimator.handoverMs(request),
-        costsMs: [],
+        prefillCostsMs: [],
       })
-      this.#pump()
+      this.#runCycle()
     })
   }
 
   /** The request is over, or its caller has gone. */
   release (label: HoldLabel, report?: PlacementReport, outcomes: readonly EngineOutcome[] = []): void {
     this.#waiting.withdraw(label)
-    outcomes.forEach(({ engine, outcome }) => this.#noteOutcome(engine, outcome))
+    outcomes.forEach(({ engine, outcome }) => this.#recordOutcome(engine, outcome))
     const entry = this.ledger.release(label)
-    if (entry && report) this.#lessons.noteEnded(entry, report, this.#opts.clock.nowMs())
-    this.#pump()
+    if (entry && report) this.#observations.recordCompletion(entry, report, this.#opts.clock.nowMs())
+    this.#runCycle()
   }
 
   /** A prefill has ended, as its owner says. */
   prefilled (label: HoldLabel): void {
-    this.ledger.prefilled(label, this.#opts.clock.nowMs())
-    this.#pump()
+    this.ledger.recordPrefillEnd(label, this.#opts.clock.nowMs())
+    this.#runCycle()
   }
 
   /** Takes in reservations that another scheduler made. */
@@ -178,28 +178,28 @@
   releaseOwner (ownerIncarnation: string): void {
     this.#waiting.withdrawOwner(ownerIncarnation)
     this.ledger.releaseOwner(ownerIncarnation)
-    this.#pump()
+    this.#runCycle()
   }
 
   noteReport (engine: string, report: EngineReport): void {
-    this.ledger.noteReport(engine, report, this.#opts.clock.nowMs())
-    this.#pump()
+    this.ledger.recordReport(engine, report, this.#opts.clock.nowMs())
+    this.#runCycle()
   }
 
   noteSilent (engine: string): void {
-    this.ledger.noteSilent(engine)
-    this.#opts.index.forgetEngine(engine)
-    this.#pump()
+    this.ledger.markUnresponsive(engine)
+    this.#opts.index.removeEngine(engine)
+    this.#runCycle()
   }
 
   noteRemovals (engine: string, page: RemovalPage): void {
-    this.#opts.index.noteRemovals(engine, page, this.#opts.clock.nowMs())
-    this.#forgetCosts(engine)
+    this.#opts.index.recordRemovals(engine, page, this.#opts.clock.nowMs())
+    this.#invalidateCosts(engine)
   }
 
   /** What requests take of the engines; nothing until enough were seen. */
-  observedLoad (): LearntLoad | undefined {
-    return this.#lessons.observedLoad(this.#opts.clock.nowMs())
+  observedLoad (): ShardLoadEstimate | undefined {
+    return this.#observations.observedLoad(this.#opts.clock.nowMs())
   }
 
   /** State for the dump. */
@@ -209,8 +209,8 @@
       shard: this.ledger.shard.id,
       waiting: this.#waiting.size,
       reservations: this.ledger.reservationCount,
-      returnsBooked: this.#calendar.size,
-      ...this.#lessons.describe(),
+      returnsBooked: this.#retrySchedule.size,
+      ...this.#observations.describe(),
       prefixEntries: this.#opts.index.size,
       suspects: this.#health.suspects(),
       ...describeEngines(this.ledger, nowMs),
@@ -218,34 +218,34 @@
   }
 
   /** Owners see few answers of each engine; here they come together. */
-  #noteOutcome (engine: string, outcome: UpstreamOutcome): void {
+  #recordOutcome (engine: string, outcome: UpstreamOutcome): void {
     const pool = this.ledger.poolOf(engine)
     if (pool.length === 0) return
     this.#health.note(engine, outcome, pool)
     if (outcome === UpstreamOutcome.Unreachable) this.#opts.onUnreachable?.(engine)
   }
 
-  #noteArrival (nowMs: number): void {
-    this.#rate.noteArrival(nowMs)
-    this.#lessons.noteArrival(nowMs)
+  #recordArrival (nowMs: number): void {
+    this.#rate.recordArrival(nowMs)
+    this.#observations.recordArrival(nowMs)
   }
 
   /** Places and refuses whatever can be decided now, then sleeps until the next moment that could change that. */
-  #pump (): void {
+  #runCycle (): void {
     const nowMs = this.#opts.clock.nowMs()
     this.ledger.expire(nowMs)
-    if (this.#waiting.size === 0) return this.#rate.noteIdle(nowMs)
-    this.#calendar.expire(nowMs)
-    const waitingMs = this.#forecast.waitingWorkMs(this.#waiting.all(), nowMs)
-    const next = () => this.#chooser.choose(this.#waiting.all(), waitingMs, nowMs)
-    for (let choice = next(); choice; choice = next()) this.#commit(choice.waiting, choice.estimate, nowMs)
-    this.#decideAll(nowMs)
-    if (this.#waiting.size === 0) this.#rate.noteIdle(nowMs)
-    this.#sleepUntilNext(nowMs)
+    if (this.#waiting.size === 0) return this.#rate.recordIdle(nowMs)
+    this.#retrySchedule.expire(nowMs)
+    const queuedPrefillMs = this.#forecast.queuedPrefillMs(this.#waiting.all(), nowMs)
+    const next = () => this.#chooser.choose(this.#waiting.all(), queuedPrefillMs, nowMs)
+    for (let choice = next(); choice; choice = next()) this.#place(choice.waiting, choice.estimate, nowMs)
+    this.#decideWaiting(nowMs)
+    if (this.#waiting.size === 0) this.#rate.recordIdle(nowMs)
+    this.#scheduleNextCycle(nowMs)
   }
 
   /** Decides anew of each request that waits whether it is kept. */
-  #decideAll (nowMs: number): void {
+  #decideWaiting (nowMs: number): void {
     if (this.#waiting.size === 0) return
     const engines = this.#chooser.readyEngines(nowMs)
     const decisions = decideQueue(this.#waiting.all(), {
@@ -253,20 +253,20 @@
       msPerPlace: this.#rate.msPerPlace(nowMs),
       msPerArrival: this.#rate.msPerArrival(nowMs),
       rateError: this.#rate.error(nowMs),
-      leastMs: (waiting) => this.#forecast.leastMs(waiting, engines, nowMs),
-      isAhead: (client) => this.#shares.isAhead(client, nowMs),
-      promisesDueAtMs: this.#calendar.promisesDueAtMs(nowMs),
+      minTtftMs: (waiting) => this.#forecast.minTtftMs(waiting, engines, nowMs),
+      isOverShare: (client) => this.#shares.isOverShare(client, nowMs),
+      promisesDueAtMs: this.#retrySchedule.promisesDueAtMs(nowMs),
     })
-    decisions.forEach((decided) => this.#carryOut(decided))
+    decisions.forEach((decided) => this.#applyDecision(decided))
   }
 
-  #carryOut ({ waiting, inputs, decision }: QueueDecision): void {
+  #applyDecision ({ waiting, inputs, decision }: QueueDecision): void {
     if (waiting.outcome !== decision.outcome) this.#opts.onAdmission?.(waiting.request.label.requestId, inputs, decision)
     waiting.outcome = decision.outcome
     if (decision.outcome === AdmissionOutcome.Refused) this.#answer(waiting, this.#refusal(waiting, decision.reason))
   }
 
-  #commit (waiting: WaitingRequest, estimate: PlacementEstimate, nowMs: number): void {
+  #place (waiting: WaitingRequest, estimate: PlacementEstimate, nowMs: number): void {
     const { request } = waiting
     const { prefill, decode } = estimate
     const entry: LedgerEntry = {
@@ -282,27 +282,27 @@
       expiresAtMs: nowMs + request.deadlineMs + RESERVATION_GRACE_MS,
     }
     this.ledger.reserve(entry, nowMs)
-    this.#limits.notePlaced([prefill.name, decode.name])
+    this.#limits.recordPlacement([prefill.name, decode.name])
     if (!isOwnPrefill(entry)) {
       this.#opts.index.noteSent(prefill.name, request.prefixes, nowMs)
-      this.#forgetCosts(prefill.name)
+      this.#invalidateCosts(prefill.name)
     }
     const weight = this.#opts.route()?.clientWeights[request.client] ?? 1
     this.#shares.charge(request.client, estimate.costMs, weight, nowMs)
-    this.#calendar.forget(request.returnId)
-    this.#rate.note(nowMs)
-    this.#lessons.notePlaced({
+    this.#retrySchedule.remove(request.returnId)
+    this.#rate.recordPlacement(nowMs)
+    this.#observations.recordPlacement({
       prefillMs: isOwnPrefill(entry) ? this.#estimator.prefillCostMs(request, prefill.name, nowMs) : estimate.costMs,
-      usualAnswerMs: this.#estimator.usualAnswerMs(request),
+      typicalAnswerMs: this.#estimator.typicalAnswerMs(request),
       kvBytes: estimate.kvBytes,
     })
     this.#answer(waiting, planOf(estimate, nowMs))
   }
 
   /** What an engine has cached has changed. */
-  #forgetCosts (engine: string): void {
-    const slot = this.ledger.prefillEngines().findIndex(({ name }) => name === engine)
-    this.#waiting.all().forEach(({ costsMs }) => { costsMs[slot] = undefined })
+  #invalidateCosts (engine: string): void {
+    const poolIndex = this.ledger.prefillEngines().findIndex(({ name }) => name === engine)
+    this.#waiting.all().forEach(({ prefillCostsMs }) => { prefillCostsMs[poolIndex] = undefined })
   }
 
   #refusal (waiting: Pick<WaitingRequest, 'request' | 'firstArrivedAtMs'>, reason: string): PlacementAnswer {
@@ -314,16 +314,16 @@
     waiting.resolve(answer)
   }
 
-  #sleepUntilNext (nowMs: number): void {
-    this.#wake?.abort(STOPPED)
+  #scheduleNextCycle (nowMs: number): void {
+    this.#nextCycle?.abort(STOPPED)
     if (this.#waiting.size === 0 || this.#tasks.stopped) return
-    const wake = new AbortController()
-    this.#wake = wake
-    const handoutsMs = this.ledger.prefillEngines().map(({ account }) => account.freeAtMs(nowMs) - HANDOUT_LOOKAHEAD_MS)
-    const nextMs = Math.min(...handoutsMs.filter((atMs) => atMs > nowMs), nowMs + MAX_SLEEP_MS)
+    const nextCycle = new AbortController()
+    this.#nextCycle = nextCycle
+    const dispatchesMs = this.ledger.prefillEngines().map(({ account }) => account.freeAtMs(nowMs) - DISPATCH_LOOKAHEAD_MS)
+    const nextMs = Math.min(...dispatchesMs.filter((atMs) => atMs > nowMs), nowMs + MAX_CYCLE_INTERVAL_MS)
     this.#tasks.run(async () => {
-      await this.#opts.clock.sleep(Math.max(1, nextMs - nowMs), { signal: wake.signal })
-      if (!wake.signal.aborted && !this.#tasks.stopped) this.#pump()
+      await this.#opts.clock.sleep(Math.max(1, nextMs - nowMs), { signal: nextCycle.signal })
+      if (!nextCycle.signal.aborted && !this.#tasks.stopped) this.#runCycle()
     })
   }
 }
--- a/scheduling/scheduler/src/waitingQueue.ts
+++ b/scheduling/scheduler/src/waitingQueue.ts
@@ -8,13 +8,13 @@
   /** When its caller first tried: before now, if it was refused and has come back when told to. */
   firstArrivedAtMs: number
   /** A first token after this is late. */
-  lateAtMs: number
+  inTimeUntilMs: number
   /** A first token after this is of no use. */
-  uselessAtMs: number
+  usefulUntilMs: number
   /** The least time from the end of its prefill to its first token. */
   handoverMs: number
   /** Prefill times by the engine's place in the shard, as far as they were needed. */
-  costsMs: (number | undefined)[]
+  prefillCostsMs: (number | undefined)[]
   /** It was refused before and came back when it was told to. */
   returned: boolean
   /** It has come back for a place that it was promised: from then on it goes before those that can be in time. */
--- a/scheduling/scheduler/test/__utils__/createShard.ts
+++ b/scheduling/scheduler/test/__utils__/createShard.ts
@@ -11,7 +11,7 @@
 export interface TestShardOptions {
   prefill?: number
   decode?: number
-  places?: number
+  slots?: number
   /** Availability zones that engines of each role are in, in turn. */
   zones?: readonly string[]
   /** Whether its engines have reported. */
@@ -26,9 +26,9 @@
 }
 
 /** A scheduler of a small shard whose engines have reported. 1,000 uncached tokens take 130 ms. */
-export function createShard ({ prefill = 2, decode = 2, places = 20, zones = ['z'], reported = true, route, decodePrefillTokensPerSecond, limitPerSecond, onUnreachable, onAdmission, onTaskError }: TestShardOptions = {}) {
+export function createShard ({ prefill = 2, decode = 2, slots = 20, zones = ['z'], reported = true, route, decodePrefillTokensPerSecond, limitPerSecond, onUnreachable, onAdmission, onTaskError }: TestShardOptions = {}) {
   const clock = new VirtualClock()
-  const derived = shardOf({ prefill, decode, places, zones })
+  const derived = shardOf({ prefill, decode, slots, zones })
   const shard = { ...derived, spec: { ...derived.spec, decodePrefillTokensPerSecond } }
   const scheduler = new ShardScheduler({ clock, shard, route: () => route as RouteSpec | undefined, index: createPrefixIndex(PrefixIndexKind.Events), reportLifeMs: 1_000_000, limitPerSecond, onUnreachable, onAdmission, onTaskError })
   if (!reported) return { clock, scheduler, shard }
@@ -66,12 +66,12 @@
   return [{ digest, tokens }]
 }
 
-function shardOf ({ prefill, decode, places, zones }: Required<Pick<TestShardOptions, 'prefill' | 'decode' | 'places' | 'zones'>>): Shard {
+function shardOf ({ prefill, decode, slots, zones }: Required<Pick<TestShardOptions, 'prefill' | 'decode' | 'slots' | 'zones'>>): Shard {
   const { configuration } = checkResources(tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
   const spec = configuration.model('draft')
   const prefillPool = configuration.pool('draft-prefill')
   const decodePool = configuration.pool('draft-decode')
   if (!spec || !prefillPool || !decodePool) throw new Error('the declarations have no model draft')
   const engines = (pool: string, count: number) => Array.from({ length: count }, (_, i) => ({ name: `${pool}-${i + 1}`, kind: UpstreamKind.Engine, address: `${pool}:${i + 1}`, availabilityZone: zones[i % zones.length], pool, leaving: false }))
-  return { id: 'draft', model: 'draft', spec, prefillPool, decodePool: { ...decodePool, placesPerEngine: places }, prefillEngines: engines('p', prefill), decodeEngines: engines('d', decode) }
+  return { id: 'draft', model: 'draft', spec, prefillPool, decodePool: { ...decodePool, placesPerEngine: slots }, prefillEngines: engines('p', prefill), decodeEngines: engines('d', decode) }
 }
--- a/scheduling/scheduler/test/__utils__/playRequests.ts
+++ b/scheduling/scheduler/test/__utils__/playRequests.ts
@@ -24,13 +24,13 @@
   /** Requests whose decode engine computed the prompt. */
   ownPrefills: number
   /** Time that requests waited which were refused in the end. */
-  waitedInVainMs: number
+  wastedWaitMs: number
 }
 
 /** Plays requests with exponential times between arrivals, and what their owners tell the scheduler of them. */
 export async function playRequests ({ clock, scheduler, requestsPerSecond, durationMs, firstTokenMs, streamMs, seed = 1, request = {} }: PlayedLoad): Promise<PlayedOutcome> {
   const random = new SeededRandom(seed)
-  const outcome: PlayedOutcome = { requests: 0, inTime: 0, refused: 0, ownPrefills: 0, waitedInVainMs: 0 }
+  const outcome: PlayedOutcome = { requests: 0, inTime: 0, refused: 0, ownPrefills: 0, wastedWaitMs: 0 }
   const playOne = async () => {
     const one = requestOf(request)
     const sentAtMs = clock.nowMs()
@@ -38,7 +38,7 @@
     const plan = await scheduler.reserve(one)
     if (plan.outcome === PlacementOutcome.Refused) {
       outcome.refused++
-      outcome.waitedInVainMs += clock.nowMs() - sentAtMs
+      outcome.wastedWaitMs += clock.nowMs() - sentAtMs
       return
     }
     if (plan.prefillEngine === plan.decodeEngine) outcome.ownPrefills++
--- a/scheduling/scheduler/test/decideAdmission.ts
+++ b/scheduling/scheduler/test/decideAdmission.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 
 /** Nobody waits, and the engines are free. */
-const EMPTY: AdmissionInputs = { leastMs: 200, aheadInTime: 0, aheadLate: 0, aheadDue: 0, msPerPlace: 0, msPerArrival: undefined, rateError: 0.2, handoverMs: 100, inTimeLeftMs: 900, usefulLeftMs: 2700, returned: false, promised: false, kept: false }
+const EMPTY: AdmissionInputs = { minTtftMs: 200, aheadInTime: 0, aheadLate: 0, aheadDue: 0, msPerPlace: 0, msPerArrival: undefined, rateError: 0.2, handoverMs: 100, inTimeLeftMs: 900, usefulLeftMs: 2700, returned: false, promised: false, kept: false }
 /** A place becomes free every 100 ms, and a quarter as many new requests come. */
 const BUSY: AdmissionInputs = { ...EMPTY, msPerPlace: 100, msPerArrival: 400 }
 
@@ -39,11 +39,11 @@
 
 test('a promise is kept as long as the answer is of use', (t) => {
   t.is(outcomeOf({ promised: true, aheadInTime: 30 }), AdmissionOutcome.Late)
-  t.is(outcomeOf({ promised: true, leastMs: 2800 }), AdmissionOutcome.Refused)
+  t.is(outcomeOf({ promised: true, minTtftMs: 2800 }), AdmissionOutcome.Refused)
 })
 
 test('without an engine nothing is kept', (t) => {
-  t.like(decideAdmission({ ...EMPTY, leastMs: undefined }), { outcome: AdmissionOutcome.Refused, reason: 'no engine of the model takes work' })
+  t.like(decideAdmission({ ...EMPTY, minTtftMs: undefined }), { outcome: AdmissionOutcome.Refused, reason: 'no engine of the model takes work' })
 })
 
 test('the reason of a refusal has its numbers', (t) => {
@@ -54,7 +54,7 @@
 
 test('more requests before it, slower places or less time never make a decision better', (t) => {
   const inputs = fc.record({
-    leastMs: fc.integer({ min: 1, max: 4000 }),
+    minTtftMs: fc.integer({ min: 1, max: 4000 }),
     aheadInTime: fc.nat(60),
     aheadLate: fc.nat(60),
     aheadDue: fc.nat(20),
--- a/scheduling/scheduler/test/decideQueue.ts
+++ b/scheduling/scheduler/test/decideQueue.ts
@@ -1,16 +1,16 @@
-import { AdmissionOutcome, decideQueue, type QueueFacts, type WaitingRequest } from '@reelspan/scheduling.scheduler'
+import { AdmissionOutcome, decideQueue, type QueueInputs, type WaitingRequest } from '@reelspan/scheduling.scheduler'
 import test from 'ava'
 import { requestOf } from './__utils__/createShard.js'
 
 /** A place becomes free every 100 ms, and a quarter as many new requests come. */
-const FACTS: QueueFacts = { nowMs: 10_000, msPerPlace: 100, msPerArrival: 400, rateError: 0.2, leastMs: () => 200, isAhead: () => false, promisesDueAtMs: [] }
+const FACTS: QueueInputs = { nowMs: 10_000, msPerPlace: 100, msPerArrival: 400, rateError: 0.2, minTtftMs: () => 200, isOverShare: () => false, promisesDueAtMs: [] }
 
 function waitingSince (ms: number, over: Partial<WaitingRequest> = {}, request = {}): WaitingRequest {
   const arrivedAtMs = FACTS.nowMs - ms
-  return { request: requestOf(request), resolve: () => {}, firstArrivedAtMs: arrivedAtMs, lateAtMs: arrivedAtMs + 900, uselessAtMs: arrivedAtMs + 2700, handoverMs: 100, costsMs: [], returned: false, ...over }
+  return { request: requestOf(request), resolve: () => {}, firstArrivedAtMs: arrivedAtMs, inTimeUntilMs: arrivedAtMs + 900, usefulUntilMs: arrivedAtMs + 2700, handoverMs: 100, prefillCostsMs: [], returned: false, ...over }
 }
 
-function outcomesOf (waiting: readonly WaitingRequest[], over: Partial<QueueFacts> = {}): AdmissionOutcome[] {
+function outcomesOf (waiting: readonly WaitingRequest[], over: Partial<QueueInputs> = {}): AdmissionOutcome[] {
   const decisions = decideQueue(waiting, { ...FACTS, ...over })
   return waiting.map((one) => decisions.find((decided) => decided.waiting === one)?.decision.outcome as AdmissionOutcome)
 }
@@ -21,13 +21,13 @@
 })
 
 test('a request counts those of higher priority as before it, and none of lower priority', (t) => {
-  const alike = (priority: number) => Array.from({ length: 9 }, () => waitingSince(0, {}, { priority }))
-  t.is(outcomesOf([...alike(1), waitingSince(0, {}, { priority: 2 })])[9], AdmissionOutcome.InTime)
-  t.is(outcomesOf([...alike(3), waitingSince(0, {}, { priority: 2 })])[9], AdmissionOutcome.Late)
+  const ofPriority = (priority: number) => Array.from({ length: 9 }, () => waitingSince(0, {}, { priority }))
+  t.is(outcomesOf([...ofPriority(1), waitingSince(0, {}, { priority: 2 })])[9], AdmissionOutcome.InTime)
+  t.is(outcomesOf([...ofPriority(3), waitingSince(0, {}, { priority: 2 })])[9], AdmissionOutcome.Late)
 })
 
 test('a request counts those with a promise as before it, also those that are yet to come back', (t) => {
-  const promised = waitingSince(0, { returned: true, promiseDueAtMs: FACTS.nowMs, lateAtMs: FACTS.nowMs - 3000 })
+  const promised = waitingSince(0, { returned: true, promiseDueAtMs: FACTS.nowMs, inTimeUntilMs: FACTS.nowMs - 3000 })
   const others = Array.from({ length: 7 }, () => waitingSince(0))
   t.is(outcomesOf([...others, waitingSince(0)])[7], AdmissionOutcome.InTime)
   t.is(outcomesOf([promised, ...others, waitingSince(0)])[8], AdmissionOutcome.Late)
@@ -36,6 +36,6 @@
 
 test('clients over their share count as behind the others', (t) => {
   const flood = Array.from({ length: 9 }, () => waitingSince(0, {}, { client: 'flood' }))
-  t.is(outcomesOf([...flood, waitingSince(0)], { isAhead: (client) => client === 'flood' })[9], AdmissionOutcome.InTime)
+  t.is(outcomesOf([...flood, waitingSince(0)], { isOverShare: (client) => client === 'flood' })[9], AdmissionOutcome.InTime)
   t.is(outcomesOf([...flood, waitingSince(0)])[9], AdmissionOutcome.Late)
 })
--- a/scheduling/scheduler/test/engineLimits.ts
+++ b/scheduling/scheduler/test/engineLimits.ts
@@ -8,11 +8,11 @@
 const SECONDS = 10
 
 /** Short requests, one each 50 ms, each over as soon as it is placed. */
-async function placements (opts: TestShardOptions, patience: { ttftLeftMs: number }): Promise<PlacementAnswer[]> {
+async function placements (opts: TestShardOptions, limits: { ttftLeftMs: number }): Promise<PlacementAnswer[]> {
   const { clock, scheduler } = createShard({ prefill: 3, decode: 3, ...opts })
   const answers: Promise<PlacementAnswer>[] = []
   for (let i = 0; i < SECONDS * 1000 / EVERY_MS; i++) {
-    const request = requestOf({ promptTokens: 100, ...patience })
+    const request = requestOf({ promptTokens: 100, ...limits })
     answers.push(scheduler.reserve(request).then((answer) => {
       scheduler.release(request.label)
       return answer
--- a/scheduling/scheduler/test/ownPrefill.ts
+++ b/scheduling/scheduler/test/ownPrefill.ts
@@ -14,8 +14,8 @@
 
 /** A load that the shard's prefill engines cannot read alone; its decode engines are half empty. */
 async function playPrefillBound (decodePrefillTokensPerSecond?: number) {
-  const { clock, scheduler } = createShard({ prefill: 1, decode: 4, places: 20, decodePrefillTokensPerSecond })
-  let readUntilMs = 0
+  const { clock, scheduler } = createShard({ prefill: 1, decode: 4, slots: 20, decodePrefillTokensPerSecond })
+  let prefillUntilMs = 0
   const outcome = await playRequests({
     clock,
     scheduler,
@@ -24,8 +24,8 @@
     request: TARGET,
     firstTokenMs: ({ prefillEngine, decodeEngine }) => {
       if (prefillEngine === decodeEngine) return 300
-      readUntilMs = Math.max(readUntilMs, clock.nowMs()) + 130
-      return readUntilMs - clock.nowMs() + 30
+      prefillUntilMs = Math.max(prefillUntilMs, clock.nowMs()) + 130
+      return prefillUntilMs - clock.nowMs() + 30
     },
     streamMs: () => 2000,
   })
@@ -54,7 +54,7 @@
 })
 
 test('a decode engine without room computes no prompts', async (t) => {
-  const { clock, scheduler } = createShard({ prefill: 0, decode: 1, places: 1, decodePrefillTokensPerSecond: HALF_PACE })
+  const { clock, scheduler } = createShard({ prefill: 0, decode: 1, slots: 1, decodePrefillTokensPerSecond: HALF_PACE })
   const first = requestOf(TARGET)
   t.true(isOwn(await clock.run(scheduler.reserve(first))))
   const second = scheduler.reserve(requestOf(TARGET))
@@ -83,7 +83,7 @@
 test('a load that prefill engines cannot read alone is served in time by decode engines that have room', async (t) => {
   const before = await playPrefillBound()
   const after = await playPrefillBound(HALF_PACE)
-  t.log(`in time of ${before.requests}: ${before.inTime} without own prefills, ${after.inTime} with; refused ${before.refused}, ${after.refused}; own ${after.ownPrefills}; waited in vain ${Math.round(before.waitedInVainMs)} ms, ${Math.round(after.waitedInVainMs)} ms`)
+  t.log(`in time of ${before.requests}: ${before.inTime} without own prefills, ${after.inTime} with; refused ${before.refused}, ${after.refused}; own ${after.ownPrefills}; waited in vain ${Math.round(before.wastedWaitMs)} ms, ${Math.round(after.wastedWaitMs)} ms`)
   t.is(before.ownPrefills, 0)
   t.true(after.inTime >= 0.95 * after.requests, `${after.inTime} of ${after.requests}`)
   t.true(before.inTime < 0.7 * before.requests, `${before.inTime} of ${before.requests}`)
@@ -91,7 +91,7 @@
 })
 
 test('of those that wait, the most urgent one is computed by a decode engine first', async (t) => {
-  const { clock, scheduler } = createShard({ prefill: 0, decode: 1, places: 1, decodePrefillTokensPerSecond: HALF_PACE })
+  const { clock, scheduler } = createShard({ prefill: 0, decode: 1, slots: 1, decodePrefillTokensPerSecond: HALF_PACE })
   const first = requestOf(TARGET)
   t.true(isOwn(await clock.run(scheduler.reserve(first))))
   const order: string[] = []
--- a/scheduling/scheduler/test/shardScheduler.ts
+++ b/scheduling/scheduler/test/shardScheduler.ts
@@ -33,7 +33,7 @@
 })
 
 test('a decode engine that fails more than the others gets work only when they are full', async (t) => {
-  const { clock, scheduler } = createShard({ prefill: 4, decode: 2, places: 3 })
+  const { clock, scheduler } = createShard({ prefill: 4, decode: 2, slots: 3 })
   const failing = { engine: 'd-1', outcome: UpstreamOutcome.Failed }
   const answering = { engine: 'd-2', outcome: UpstreamOutcome.Answered }
   for (let i = 0; i < 4; i++) scheduler.release(requestOf().label, undefined, [failing, answering])
@@ -51,10 +51,10 @@
 })
 
 test('an engine that an owner did not reach is to be looked at', (t) => {
-  const doubted: string[] = []
-  const { scheduler } = createShard({ onUnreachable: (engine) => doubted.push(engine) })
+  const unreachable: string[] = []
+  const { scheduler } = createShard({ onUnreachable: (engine) => unreachable.push(engine) })
   scheduler.release(requestOf().label, undefined, [{ engine: 'p-1', outcome: UpstreamOutcome.Unreachable }, { engine: 'd-1', outcome: UpstreamOutcome.Answered }, { engine: 'unknown', outcome: UpstreamOutcome.Unreachable }])
-  t.deepEqual(doubted, ['p-1'])
+  t.deepEqual(unreachable, ['p-1'])
 })
 
 test('a fault of the program while requests wait is told of', async (t) => {
@@ -77,13 +77,13 @@
 })
 
 test('no prefill starts without a decode place', async (t) => {
-  const { clock, scheduler } = createShard({ prefill: 4, decode: 1, places: 2 })
+  const { clock, scheduler } = createShard({ prefill: 4, decode: 1, slots: 2 })
   const answers = await clock.run(Promise.all(Array.from({ length: 6 }, () => scheduler.reserve(requestOf()))))
   t.is(placedCount(answers), 2)
 })
 
 test('a place that is given back serves the next one that waits', async (t) => {
-  const { clock, scheduler } = createShard({ decode: 1, places: 1 })
+  const { clock, scheduler } = createShard({ decode: 1, slots: 1 })
   const first = requestOf()
   t.is((await clock.run(scheduler.reserve(first))).outcome, PlacementOutcome.Placed)
   const second = scheduler.reserve(requestOf())
@@ -101,7 +101,7 @@
 
 test('a place that will certainly be free when the prefill ends counts, unless the route would rather not waste prefill', async (t) => {
   const outcomes = await Promise.all([RouteObjective.Goodput, RouteObjective.WastedPrefill].map(async (objective) => {
-    const { clock, scheduler } = createShard({ prefill: 2, decode: 1, places: 1, route: { objective, poolSharePercent: 100, clientWeights: {} } })
+    const { clock, scheduler } = createShard({ prefill: 2, decode: 1, slots: 1, route: { objective, poolSharePercent: 100, clientWeights: {} } })
     // It ends after at most one step of 27 ms, and a prefill of 1,000 tokens takes 130 ms.
     await clock.run(scheduler.reserve(requestOf({ promptTokens: 64, maxTokens: 1 })))
     await clock.advance(5)
@@ -114,7 +114,7 @@
 })
 
 test('what others hold on an engine is counted', async (t) => {
-  const { clock, scheduler } = createShard({ decode: 1, places: 2 })
+  const { clock, scheduler } = createShard({ decode: 1, slots: 2 })
   const label = { ownerAddress: 'x', ownerIncarnation: 'script', requestId: '1', maxHoldMs: 1 }
   scheduler.noteReport('d-1', reportOf(EngineRole.Decode, { holds: [{ label, kind: HoldKind.Decode, kvBytes: 1, tokensDone: 3 }] }))
   const answers = await clock.run(Promise.all([scheduler.reserve(requestOf()), scheduler.reserve(requestOf())]))
@@ -224,8 +224,8 @@
 })
 
 test('a new scheduler counts what owners tell it that the one before had placed', async (t) => {
-  const { clock, scheduler } = createShard({ prefill: 4, decode: 1, places: 2 })
-  const before = createShard({ prefill: 4, decode: 1, places: 2 })
+  const { clock, scheduler } = createShard({ prefill: 4, decode: 1, slots: 2 })
+  const before = createShard({ prefill: 4, decode: 1, slots: 2 })
   const request = requestOf()
   const plan = await before.clock.run(before.scheduler.reserve(request))
   if (plan.outcome !== PlacementOutcome.Placed) return t.fail()
@@ -235,7 +235,7 @@
 })
 
 test('a reservation lapses when its request\'s deadline is past', async (t) => {
-  const { clock, scheduler } = createShard({ decode: 1, places: 1 })
+  const { clock, scheduler } = createShard({ decode: 1, slots: 1 })
   await clock.run(scheduler.reserve(requestOf({ deadlineMs: 2000 })))
   await clock.advance(3100)
   t.is((await clock.run(scheduler.reserve(requestOf()))).outcome, PlacementOutcome.Placed)
@@ -257,7 +257,7 @@
 /** A scheduler of whose places one became free every 400 ms, and whose two places are taken again. */
 async function createBusyShard () {
   const admissions: AdmissionOutcome[] = []
-  const { clock, scheduler } = createShard({ prefill: 1, decode: 1, places: 2, onAdmission: (_, __, { outcome }) => admissions.push(outcome) })
+  const { clock, scheduler } = createShard({ prefill: 1, decode: 1, slots: 2, onAdmission: (_, __, { outcome }) => admissions.push(outcome) })
   const placed: string[] = []
   const place = async (request: ReturnType<typeof requestOf>) => {
     const answer = await scheduler.reserve(request)
@@ -307,7 +307,7 @@
 })
 
 test('a request whose queue comes to a standstill is not held until its answer is of no use', async (t) => {
-  const { clock, scheduler } = createShard({ prefill: 1, decode: 1, places: 1 })
+  const { clock, scheduler } = createShard({ prefill: 1, decode: 1, slots: 1 })
   await clock.run(scheduler.reserve(patientRequest()))
   const startedAtMs = clock.nowMs()
   const answer = await clock.run(scheduler.reserve(patientRequest()))
--- a/scheduling/scheduler/test/urgency.ts
+++ b/scheduling/scheduler/test/urgency.ts
@@ -23,8 +23,8 @@
 /** Prefills of 1,000 tokens take this long on the test's shard. */
 const PREFILL_MS_PER_TOKEN = 0.13
 
-async function play (arrivals: readonly Arrival[], { streamMs, places, engineLostAt }: { streamMs: number, places: number, engineLostAt: number }): Promise<Record<'urgent' | 'other', Tally>> {
-  const { clock, scheduler } = createShard({ prefill: 2, decode: 2, places })
+async function play (arrivals: readonly Arrival[], { streamMs, slots, engineLostAt }: { streamMs: number, slots: number, engineLostAt: number }): Promise<Record<'urgent' | 'other', Tally>> {
+  const { clock, scheduler } = createShard({ prefill: 2, decode: 2, slots })
   const tallies = { urgent: { sent: 0, served: 0, inTime: 0 }, other: { sent: 0, served: 0, inTime: 0 } }
   const carryOut = async (kind: 'urgent' | 'other', promptTokens: number) => {
     const tally = tallies[kind]
@@ -61,7 +61,7 @@
   const load = fc.record({
     arrivals: fc.array(arrival, { minLength: 60, maxLength: 90 }),
     streamMs: fc.integer({ min: 100, max: 1500 }),
-    places: fc.integer({ min: 1, max: 8 }),
+    slots: fc.integer({ min: 1, max: 8 }),
     engineLostAt: fc.nat(120),
   })
   await fc.assert(fc.asyncProperty(load, async ({ arrivals, ...opts }) => {
--- a/scheduling/scheduler/test/zones.ts
+++ b/scheduling/scheduler/test/zones.ts
@@ -34,7 +34,7 @@
 })
 
 test('an engine that is notably fuller is left for one in another zone', async (t) => {
-  const { clock, scheduler } = createShard({ prefill: 1, decode: 2, zones: ZONES, places: 20 })
+  const { clock, scheduler } = createShard({ prefill: 1, decode: 2, zones: ZONES, slots: 20 })
   const zones: string[] = []
   for (let i = 0; i < 10; i++) zones.push(zoneOf((await place(clock, scheduler)).decodeEngine))
   t.true(zones.includes('b'))
--- a/scheduling/shards/src/deriveShards.ts
+++ b/scheduling/shards/src/deriveShards.ts
@@ -46,8 +46,8 @@
   const zones = zonesWithBothRoles(whole)
   if (fitsOneShard(whole) || zones.length === 0) return [whole]
   return zones.flatMap((zone) => {
-    const ofZone = (engines: readonly ListedUpstream[]) => engines.filter((engine) => zoneToServe(engine, zones) === zone)
-    return cutEvenly({
+    const ofZone = (engines: readonly ListedUpstream[]) => engines.filter((engine) => servingZone(engine, zones) === zone)
+    return splitEvenly({
       ...whole,
       id: `${model}#${zone}`,
       availabilityZone: zone,
@@ -67,7 +67,7 @@
 }
 
 /** An engine of a zone that lacks the other role works with the engines of another zone, always the same one. */
-function zoneToServe (engine: ListedUpstream, zones: readonly string[]): string {
+function servingZone (engine: ListedUpstream, zones: readonly string[]): string {
   const { availabilityZone } = engine
   return zones.includes(availabilityZone) ? availabilityZone : zones[hash32(instanceOf(engine)) % zones.length]
 }
@@ -85,7 +85,7 @@
   return [...prefillZones].filter((zone) => decodeZones.has(zone)).sort()
 }
 
-function cutEvenly (shard: Shard): Shard[] {
+function splitEvenly (shard: Shard): Shard[] {
   const parts = Math.min(partCount(shard), shard.prefillEngines.length, shard.decodeEngines.length)
   const prefillOrder = inHashOrder(shard.prefillEngines)
   const decodeOrder = inHashOrder(shard.decodeEngines)
--- a/scheduling/shards/src/shardTimes.ts
+++ b/scheduling/shards/src/shardTimes.ts
@@ -24,15 +24,15 @@
 /**
  * KV bytes to reserve for a request.
  *
- * @param usualShare part of the longest answer that answers usually reach
+ * @param typicalShare part of the longest answer that answers usually reach
  */
-export function requestKvBytes ({ spec, decodePool }: Shard, request: { promptTokens: number, maxTokens: number }, usualShare: number): number {
-  const share = decodePool.kvReservation === KvReservation.Usual ? usualShare : 1
+export function requestKvBytes ({ spec, decodePool }: Shard, request: { promptTokens: number, maxTokens: number }, typicalShare: number): number {
+  const share = decodePool.kvReservation === KvReservation.Usual ? typicalShare : 1
   return (request.promptTokens + Math.ceil(share * request.maxTokens)) * spec.kvBytesPerToken
 }
 
 /** Places of a decode engine that keep the time between tokens within its target. */
-export function placesWithinTarget ({ spec, decodePool }: Shard, tbtTargetMs: number): number {
+export function slotsWithinTarget ({ spec, decodePool }: Shard, tbtTargetMs: number): number {
   if (spec.decodeStepPerRequestMs === 0) return decodePool.placesPerEngine
   const within = Math.floor((tbtTargetMs * TBT_MARGIN - spec.decodeStepBaseMs) / spec.decodeStepPerRequestMs)
   return Math.max(1, Math.min(decodePool.placesPerEngine, within))
--- a/scheduling/shards/test/deriveShards.ts
+++ b/scheduling/shards/test/deriveShards.ts
@@ -35,18 +35,18 @@
   t.true(moved <= 12, `${moved} moved`)
 })
 
-function membersWithRooms (rooms: readonly (number | undefined)[]) {
-  return rooms.map((room, i) => ({ name: `box-${i}`, availabilityZone: 'z', peerAddress: `a:${i}`, callerAddress: '', incarnation: `i${i}`, version: 0, health: MemberHealth.Alive, leaving: false, room }))
+function membersWithHeadroom (headrooms: readonly (number | undefined)[]) {
+  return headrooms.map((headroom, i) => ({ name: `box-${i}`, availabilityZone: 'z', peerAddress: `a:${i}`, callerAddress: '', incarnation: `i${i}`, version: 0, health: MemberHealth.Alive, leaving: false, room: headroom }))
 }
 
 test('shards are accounted for by boxes with much room', (t) => {
-  const members = membersWithRooms([0.3, 0.3, 0.3, 0.3, 1.3, 0.3, 1.2, 0.3])
+  const members = membersWithHeadroom([0.3, 0.3, 0.3, 0.3, 1.3, 0.3, 1.2, 0.3])
   const chosen = Array.from({ length: 50 }, (_, i) => schedulerOf({ id: `shard-${i}` }, members)?.name)
   t.deepEqual([...new Set(chosen)].sort(), ['box-4', 'box-6'])
 })
 
 test('boxes that do not tell their room count alike', (t) => {
-  const members = membersWithRooms([undefined, undefined, undefined, 1])
+  const members = membersWithHeadroom([undefined, undefined, undefined, 1])
   const chosen = Array.from({ length: 50 }, (_, i) => schedulerOf({ id: `shard-${i}` }, members)?.name)
   t.is(new Set(chosen).size, 4)
 })
