--- a/scheduling/shards/src/deriveShards.ts
+++ b/scheduling/shards/src/deriveShards.ts
@@ -2,17 +2,17 @@
 import { type Configuration, type ModelSpec, type PoolSpec } from '@reelspan/config.resources'
 import { hash32 } from '@reelspan/core.hashing'
 
-/** Engines of one model that one scheduler accounts for. */
+/** The engines of one model that are managed by one scheduler. */
 export interface Shard {
   id: string
   model: string
   spec: ModelSpec
   prefillPool: PoolSpec
   decodePool: PoolSpec
-  /** Every listed engine, leaving ones too. */
+  /** All listed engines, including those that are leaving. */
   prefillEngines: readonly ListedUpstream[]
   decodeEngines: readonly ListedUpstream[]
-  /** Set when all its engines are in one availability zone by design. */
+  /** Set if the shard was derived for a single availability zone. */
   availabilityZone?: string
 }
 
@@ -22,11 +22,12 @@
 }
 
 /**
- * Cuts a model's engines into shards. As many engines as `maxEnginesPerShard` allows
- * both pools together are one shard, however many of them have which role: roles
- * follow the load, and an engine that changes its role in a burst must not hand every
- * reservation to other schedulers. More are cut by availability zone, and within it
- * into equal parts in hash order, so that an engine more or less moves few others.
+ * Splits the engines of each model into shards. A model is one shard as long as the
+ * number of its engines is at most the sum of `maxEnginesPerShard` of both pools. Roles
+ * are not counted separately, because they follow the load, and an engine that changes
+ * its role during a burst must not move every reservation to other schedulers. Larger
+ * models are split by availability zone, and each zone into equal parts in hash order,
+ * so that adding or removing an engine moves few others.
  */
 export function deriveShards (configuration: Configuration, fleet: FleetList): Shard[] {
   return configuration.modelNames().flatMap((model) => shardsOfModel(model, configuration, fleet))
@@ -57,7 +58,7 @@
   })
 }
 
-/** Whatever else says that it belongs to an engine pool computes nothing. */
+/** Upstreams of other kinds that name an engine pool are ignored: they compute nothing. */
 function isEngine ({ kind }: ListedUpstream): boolean {
   return kind === UpstreamKind.Engine
 }
@@ -66,7 +67,7 @@
   return enginesOf(shard).length <= shard.prefillPool.maxEnginesPerShard + shard.decodePool.maxEnginesPerShard
 }
 
-/** An engine of a zone that lacks the other role works with the engines of another zone, always the same one. */
+/** Engines in a zone without engines of the other role are assigned to another zone by a hash of the instance, so the assignment is stable. */
 function servingZone (engine: ListedUpstream, zones: readonly string[]): string {
   const { availabilityZone } = engine
   return zones.includes(availabilityZone) ? availabilityZone : zones[hash32(instanceOf(engine)) % zones.length]
--- a/scheduling/shards/src/schedulerOf.ts
+++ b/scheduling/shards/src/schedulerOf.ts
@@ -1,18 +1,18 @@
 import { topByRendezvous } from '@reelspan/core.hashing'
 import { type Member } from '@reelspan/core.messages'
 
-/** Members with less than this part of the room of the largest are not asked to account for a shard: it costs them more than their callers can bear. */
+/** Members with less than this share of the largest headroom do not schedule shards: scheduling would slow down the requests they serve themselves. */
 const MIN_HEADROOM_SHARE = 0.5
-/** Room of members that do not tell theirs. */
+/** Headroom assumed for members that do not report it. */
 const DEFAULT_HEADROOM = 1
 
-/** What was chosen from a list of members, which stays the same until one of them changes. */
+/** Caches the chosen member per member list. The list is a new object after each change. */
 const schedulerCache = new WeakMap<readonly Member[], Map<string, Member | undefined>>()
 
 /**
- * The member that accounts for a shard, by this box's view. Members of the shard's
- * own availability zone go first, and among those the ones with much room. Chosen
- * once for each list: it takes a hash of each member, and every request asks.
+ * Returns the member that schedules a shard, in this box's view. Members in the shard's
+ * availability zone are preferred, and among them those with enough headroom. The result
+ * is cached per member list, since choosing hashes every member and each request needs it.
  */
 export function schedulerOf (shard: { id: string, availabilityZone?: string }, members: readonly Member[]): Member | undefined {
   const cached = schedulerCache.get(members) ?? new Map<string, Member | undefined>()
