--- a/scheduling/ledger/src/decodeAccount.ts
+++ b/scheduling/ledger/src/decodeAccount.ts
@@ -2,10 +2,10 @@
 import { type EngineReport, HoldKind } from '@reelspan/upstream.client'
 import { PrefillAccount } from './prefillAccount.js'
 
-/** One request's place on a decode engine. */
+/** The slot and memory reserved for one request on a decode engine. */
 export interface SlotReservation {
   kvBytes: number
-  /** The place is certainly free again by then. */
+  /** The request has certainly ended by this time. */
   latestEndMs: number
 }
 
@@ -14,17 +14,17 @@
   kvBytes: number
 }
 
-/** A stream that runs past its latest end is given this much more at each report. */
+/** Extends the latest end of a stream that a report still shows after it. */
 const OVERRUN_STEP_MS = 500
 
-/** Places and KV bytes of one decode engine: what was reserved here, and what others hold on it. */
+/** Slots and KV bytes in use on one decode engine: reservations made here, and holds of other schedulers. */
 export class DecodeAccount {
   readonly #reserved = new Map<string, SlotReservation>()
   #reservedKvBytes = 0
   #external: DecodeCapacity = { slots: 0, kvBytes: 0 }
-  /** Prompts that it computes itself, between the tokens of its streams. */
+  /** Prompts that the engine computes itself, between the decode steps of its streams. */
   readonly ownPrefills = new PrefillAccount()
-  /** When the engine's link from the prefill pool is free. */
+  /** Time at which the engine's link from the prefill pool is free. */
   linkFreeAtMs = 0
 
   get reservedPlaces (): number {
@@ -39,7 +39,7 @@
     return this.#external.kvBytes + this.#reservedKvBytes
   }
 
-  /** What is free now, within the given capacity. */
+  /** Returns what is free now, within the given capacity. */
   freeNow (capacity: DecodeCapacity): DecodeCapacity {
     return {
       slots: capacity.slots - this.#external.slots - this.#reserved.size,
@@ -47,7 +47,7 @@
     }
   }
 
-  /** What is certainly free at a time to come. Looks at each reservation. */
+  /** Returns what is certainly free at a future time. Iterates over all reservations. */
   freeAt (atMs: number, capacity: DecodeCapacity): DecodeCapacity {
     const free = this.freeNow(capacity)
     this.#reserved.forEach(({ latestEndMs, kvBytes }) => {
@@ -69,7 +69,7 @@
     this.#reserved.delete(labelKey)
   }
 
-  /** Counts what the engine holds beyond the reservations made here. A hold that outlasts its reservation's estimate keeps its place. */
+  /** Counts the engine's holds that are not reserved here. A reservation whose hold outlasts the estimate is extended. */
   recordReport (report: EngineReport, nowMs: number): void {
     const held = report.holds.filter(({ kind }) => kind === HoldKind.Decode || kind === HoldKind.Import)
     const external = held.filter(({ label }) => !this.#reserved.has(holdLabelKey(label)))
--- a/scheduling/ledger/src/prefillAccount.ts
+++ b/scheduling/ledger/src/prefillAccount.ts
@@ -1,37 +1,37 @@
 import { holdLabelKey } from '@reelspan/core.messages'
 import { type EngineReport, HoldKind } from '@reelspan/upstream.client'
 
-/** Work whose end was not heard of by now, this long after its planned end, is taken to have ended. */
+/** A prefill without an end notification is assumed to have ended this long after its planned end. */
 const MISSED_END_GRACE_MS = 500
 const EWMA_WEIGHT = 0.05
 const MAX_SPEED_FACTOR = 3
 const MIN_SPEED_FACTOR = 0.5
 
 /**
- * Planned work of one prefill engine, which does one prefill after another.
- * Times are on this box's clock. Ends are heard of, so that errors of the
- * estimates do not add up, and the engine's real speed is learnt from them.
+ * Planned work of one prefill engine, which runs one prefill at a time. Times are
+ * on this box's clock. Owners report the end of each prefill, so errors of the
+ * estimates do not accumulate, and the engine's actual speed is estimated from the ends.
  */
 export class PrefillAccount {
-  /** Estimated time of each prefill, in the order in which the engine does them. */
+  /** Estimated duration of each prefill, in execution order. */
   readonly #work = new Map<string, number>()
   #headStartMs = 0
   #externalUntilMs = 0
   #speedFactor = 1
-  /** When the engine's link to the decode pool is free. */
+  /** Time at which the engine's link to the decode pool is free. */
   linkFreeAtMs = 0
 
-  /** Real durations of prefills over estimated ones. */
+  /** EWMA of the actual duration of prefills divided by the estimated one. */
   get speedFactor (): number {
     return this.#speedFactor
   }
 
-  /** Prefills that have not ended. */
+  /** Number of prefills that have not ended. */
   get plannedCount (): number {
     return this.#work.size
   }
 
-  /** When the engine can begin another prefill. */
+  /** Time at which the engine can start another prefill. */
   freeAtMs (nowMs: number): number {
     const [head, ...rest] = this.#work.values()
     const headEndMs = head === undefined ? nowMs : Math.max(nowMs, this.#headStartMs + head)
@@ -44,7 +44,7 @@
     this.#work.set(labelKey, costMs)
   }
 
-  /** The owner says that the prefill has ended. */
+  /** Removes a prefill whose owner reported its end, and updates the speed factor. */
   finish (labelKey: string, nowMs: number): void {
     const [head] = this.#work.keys()
     const costMs = this.#work.get(labelKey) ?? 0
@@ -58,14 +58,14 @@
     if (head === labelKey) this.#headStartMs = Math.max(this.#headStartMs, nowMs)
   }
 
-  /** Corrects the plan by what the engine says it still has before it. */
+  /** Adds the queue time that the engine reports if it also runs prefills of other schedulers. */
   recordReport (report: EngineReport, nowMs: number): void {
     const queued = report.holds.filter(({ kind }) => kind === HoldKind.Prefill)
     const external = queued.some(({ label }) => !this.#work.has(holdLabelKey(label)))
     this.#externalUntilMs = external ? nowMs + report.prefillQueueMs : 0
   }
 
-  /** Forgets work whose end should have been heard of long ago. */
+  /** Removes prefills whose end notification is overdue. */
   expire (nowMs: number): void {
     const [head] = this.#work
     if (!head) return
--- a/scheduling/ledger/src/shardLedger.ts
+++ b/scheduling/ledger/src/shardLedger.ts
@@ -5,7 +5,7 @@
 import { DecodeAccount } from './decodeAccount.js'
 import { PrefillAccount } from './prefillAccount.js'
 
-/** What one placed request has reserved. */
+/** The reservation of one placed request. */
 export interface LedgerEntry {
   label: HoldLabel
   maxTokens: number
@@ -16,27 +16,27 @@
   prefillCostMs: number
   importEndMs: number
   latestEndMs: number
-  /** The reservation lapses then, whatever became of its owner. */
+  /** The reservation expires at this time even if its owner never releases it. */
   expiresAtMs: number
 }
 
-/** An engine as the ledger knows it. */
+/** An engine of the shard with its account and last report. */
 export interface EngineAccount<A> {
   name: string
   address: string
   availabilityZone: string
-  /** The role that the list gives it. */
+  /** The role in the fleet list. */
   role: EngineRole
   leaving: boolean
-  /** When this start of it began, by its own clock, where it tells. */
+  /** When the listed process of the engine started, on the engine's clock, if known. */
   startedAtMs?: number
   account: A
-  /** The last report, and when it came. */
+  /** The last report; `reportAtMs` is the time at which it was received. */
   report?: EngineReport
   reportAtMs: number
-  /** Nothing is known of it yet: neither a report nor a failure to get one. */
+  /** No report was received and no attempt to get one has failed yet. */
   awaitsFirstReport: boolean
-  /** Set by whoever carries out orders: no new work, so that it empties. */
+  /** Set while an order is being carried out: the engine gets no new work, so that it drains. */
   retiring: boolean
 }
 
@@ -45,7 +45,7 @@
   reportLifeMs: number
 }
 
-/** Exact accounting of one shard. A right to nothing: the engines have the last word. */
+/** Accounts for all reservations of one shard. A reservation is a plan, not a guarantee: the engine itself may still refuse. */
 export class ShardLedger {
   readonly #opts: ShardLedgerOptions
   readonly #entries = new Map<string, LedgerEntry>()
@@ -69,7 +69,7 @@
     return this.#entries.size
   }
 
-  /** Takes over the shard's present engines. What is reserved on those that stay is kept. */
+  /** Updates the engines of the shard. Reservations on engines that remain are kept. */
   update (shard: Shard): void {
     this.#shard = shard
     updateAccounts(this.#prefill, EngineRole.Prefill, shard.prefillEngines, () => new PrefillAccount())
@@ -78,7 +78,7 @@
     this.#decodeList = [...this.#decode.values()]
   }
 
-  /** In an order that changes only with `update`. */
+  /** Prefill engines, in an order that changes only in `update`. */
   prefillEngines (): readonly EngineAccount<PrefillAccount>[] {
     return this.#prefillList
   }
@@ -92,16 +92,16 @@
     return [...this.#prefillList, ...this.#decodeList]
   }
 
-  /** Names of all engines that do the same work as the given one, itself included; none when it is not of the shard. */
+  /** Names of all engines with the same role as the given one, itself included; empty if it is not in the shard. */
   poolOf (engineName: string): string[] {
     const pool = [this.#prefill, this.#decode].find((accounts) => accounts.has(engineName))
     return pool ? [...pool.keys()] : []
   }
 
-  /** The version of the shard's model that an engine serves now, or nothing when it takes no new work. */
+  /** The version of the shard's model that an engine serves now; undefined if it takes no new work. */
   servedVersion (engine: EngineAccount<unknown>, nowMs: number): string | undefined {
     const { report } = engine
-    // While an engine changes its role, the list and its report disagree for a while: it takes neither kind of work.
+    // While an engine changes its role, the fleet list and its report disagree for a while; it gets no work of either role then.
     const usable = report && report.role === engine.role && !engine.leaving && !engine.retiring && !report.changing && nowMs - engine.reportAtMs <= this.#opts.reportLifeMs
     const servedName = this.#shard.spec.servedName ?? this.#shard.model
     return usable ? report.loaded.find(({ model }) => model === servedName)?.version : undefined
@@ -115,19 +115,18 @@
     const decode = this.#decode.get(entry.decodeEngine)
     this.#prefillAccountOf(entry)?.plan(key, entry.prefillCostMs, nowMs)
     decode?.account.reserve(key, { kvBytes: entry.kvBytes, latestEndMs: entry.latestEndMs })
-    // What a decode engine computes itself takes no link.
+    // A prefill on the decode engine itself uses no link.
     if (!prefill) return
     prefill.account.linkFreeAtMs = Math.max(prefill.account.linkFreeAtMs, entry.importEndMs)
     if (decode) decode.account.linkFreeAtMs = Math.max(decode.account.linkFreeAtMs, entry.importEndMs)
   }
 
-  /** A prefill has ended. */
   recordPrefillEnd (label: HoldLabel, nowMs: number): void {
     const entry = this.#entries.get(holdLabelKey(label))
     if (entry) this.#prefillAccountOf(entry)?.finish(holdLabelKey(label), nowMs - this.#shard.spec.prefillLatencyMs)
   }
 
-  /** Requests that are placed on an engine. */
+  /** Number of requests placed on an engine. */
   reservationsOn (engineName: string): number {
     return this.#prefill.get(engineName)?.account.plannedCount ?? this.#decode.get(engineName)?.account.reservedPlaces ?? 0
   }
@@ -136,7 +135,7 @@
     return this.#entries.has(holdLabelKey(label))
   }
 
-  /** Whether a reservation stands and its request may still run. */
+  /** Whether a reservation exists and its request may still be running. */
   isCurrent (label: HoldLabel, nowMs: number): boolean {
     const entry = this.#entries.get(holdLabelKey(label))
     return entry !== undefined && entry.latestEndMs > nowMs
@@ -152,14 +151,14 @@
     return entry
   }
 
-  /** Gives back what an incarnation had reserved. */
+  /** Releases all reservations of an owner's incarnation. */
   releaseOwner (ownerIncarnation: string): void {
     [...this.#entries.values()]
       .filter(({ label }) => label.ownerIncarnation === ownerIncarnation)
       .forEach(({ label }) => this.release(label))
   }
 
-  /** A report of an older start of the engine says nothing; one of a newer start says that this one is over. */
+  /** Ignores reports of an earlier process of the engine. A report of a later process means that the listed one has ended. */
   recordReport (engineName: string, report: EngineReport, nowMs: number): void {
     const engine = this.#prefill.get(engineName) ?? this.#decode.get(engineName)
     if (!engine) return
@@ -172,7 +171,7 @@
     engine.account.recordReport(report, nowMs)
   }
 
-  /** The engine did not answer. It gets no work until it reports again. */
+  /** Called when an engine did not answer. It gets no work until it reports again. */
   markUnresponsive (engineName: string): void {
     const engine = this.#prefill.get(engineName) ?? this.#decode.get(engineName)
     if (!engine) return
@@ -180,12 +179,12 @@
     engine.awaitsFirstReport = false
   }
 
-  /** Whether some engine's first report is still to come, as soon after a shard was taken over. */
+  /** Whether the first report of any engine is still outstanding, as shortly after a shard was taken over. */
   get awaitsFirstReports (): boolean {
     return this.allEngines().some(({ awaitsFirstReport, leaving }) => awaitsFirstReport && !leaving)
   }
 
-  /** When the engine last reported that has been silent longest, of those that ever did. */
+  /** The oldest of the engines' last report times, among engines that have reported. */
   oldestReportAtMs (): number | undefined {
     const times = this.allEngines().map(({ reportAtMs }) => reportAtMs).filter((atMs) => atMs > 0)
     return times.length > 0 ? Math.min(...times) : undefined
@@ -199,7 +198,7 @@
     this.#decode.forEach(({ account }) => account.ownPrefills.expire(nowMs))
   }
 
-  /** Where a request's prompt is computed: on a prefill engine, or on its decode engine itself. */
+  /** The account of the engine that computes a request's prompt: a prefill engine, or the decode engine itself. */
   #prefillAccountOf (entry: LedgerEntry): PrefillAccount | undefined {
     return isOwnPrefill(entry) ? this.#decode.get(entry.decodeEngine)?.account.ownPrefills : this.#prefill.get(entry.prefillEngine)?.account
   }
--- a/scheduling/ledger/test/restartedEngines.ts
+++ b/scheduling/ledger/test/restartedEngines.ts
@@ -26,7 +26,7 @@
   return { ledger, served }
 }
 
-test('reservations and reports of an engine end with its start', (t) => {
+test('a restart of an engine ends its reservations and invalidates its reports', (t) => {
   const { ledger, served } = createLedger()
   ledger.recordReport('d@100', reportOf(EngineRole.Decode, 100), 0)
   ledger.reserve({ label: LABEL, maxTokens: 10, tbtTargetMs: 76, prefillEngine: 'p@100', decodeEngine: 'd@100', kvBytes: 1, prefillCostMs: 100, importEndMs: 100, latestEndMs: 500, expiresAtMs: 1000 }, 0)
@@ -37,7 +37,7 @@
   t.deepEqual(served(), [undefined, undefined])
 })
 
-test('a report that comes late from an older start is passed over', (t) => {
+test('a late report from an earlier process of the engine is ignored', (t) => {
   const { ledger, served } = createLedger(200)
   ledger.recordReport('d@200', reportOf(EngineRole.Decode, 100), 0)
   t.deepEqual(served(), [undefined, undefined])
@@ -46,14 +46,14 @@
   t.deepEqual(served(), [undefined, '1'])
 })
 
-test('an engine whose report tells of a newer start than is listed gets no work', (t) => {
+test('an engine whose report has a later start time than the list gets no work', (t) => {
   const { ledger, served } = createLedger(100)
   ledger.recordReport('d@100', reportOf(EngineRole.Decode, 100), 0)
   ledger.recordReport('d@100', reportOf(EngineRole.Decode, 200), 0)
   t.deepEqual(served(), [undefined, undefined])
 })
 
-test('an engine that does not tell of its start is taken at its word', (t) => {
+test('a report without a start time is accepted', (t) => {
   const { ledger, served } = createLedger(100)
   ledger.recordReport('d@100', reportOf(EngineRole.Decode), 0)
   t.deepEqual(served(), [undefined, '1'])
