--- a/scheduling/prefix-index/src/engineEntries.ts
+++ b/scheduling/prefix-index/src/engineEntries.ts
@@ -1,6 +1,6 @@
 import { type CachedPrefix } from './prefixIndex.js'
 
-/** Prefixes sent to one engine and when, least recent first, bounded in number. */
+/** A bounded LRU of the prefixes sent to one engine, with the time of the last send. */
 export class EngineEntries {
   readonly #maxEntries: number
   readonly #sentAtMs = new Map<string, number>()
--- a/scheduling/prefix-index/src/entriesPrefixIndex.ts
+++ b/scheduling/prefix-index/src/entriesPrefixIndex.ts
@@ -1,7 +1,7 @@
 import { EngineEntries } from './engineEntries.js'
 import { type CachedPrefix, PrefixIndex } from './prefixIndex.js'
 
-/** What the indexes that remember sent prefixes share. */
+/** Base class of the indexes that keep the prefixes sent to each engine. */
 export abstract class EntriesPrefixIndex extends PrefixIndex {
   readonly #maxEntriesPerEngine: number
   readonly #engines = new Map<string, EngineEntries>()
--- a/scheduling/prefix-index/src/eventPrefixIndex.ts
+++ b/scheduling/prefix-index/src/eventPrefixIndex.ts
@@ -1,7 +1,7 @@
 import { EntriesPrefixIndex } from './entriesPrefixIndex.js'
 import { type RemovalPage } from './prefixIndex.js'
 
-/** Applies every removal event as it comes. After a gap it starts over for that engine. */
+/** Applies removal events when they are received. A gap in the events clears the engine's entries. */
 export class EventPrefixIndex extends EntriesPrefixIndex {
   recordRemovals (engine: string, page: RemovalPage): void {
     if (page.afterGap) this.removeEngine(engine)
--- a/scheduling/prefix-index/src/hitJudgedPrefixIndex.ts
+++ b/scheduling/prefix-index/src/hitJudgedPrefixIndex.ts
@@ -4,23 +4,23 @@
 const MAX_REMOVALS_PER_ENGINE = 4000
 
 interface RemovalLog {
-  /** When each digest was last heard to be removed, oldest first. */
+  /** Time at which the last removal event of each digest was received, oldest first. */
   removedAtMs: Map<string, number>
-  /** Nothing is known of removals before this. */
+  /** Removals before this time may be missing. */
   completeSinceMs: number
 }
 
 export interface HitJudgedOptions {
-  /** How late a removal is heard of, about. */
+  /** Approximate delay between a removal and its event. */
   eventLagMs: number
-  /** How long an entry from before a gap is still believed. */
+  /** How long an entry that predates the log is still assumed to be cached. */
   unconfirmedLifeMs: number
 }
 
 /**
- * Judges an entry when it is hit, against a bounded log of recent removals:
- * first by time alone (an entry younger than the last removal log is cheap to
- * accept), then by the digest's own removal. Nothing is swept when events come.
+ * Validates an entry on lookup against a bounded log of recent removals: first by
+ * its age (an entry younger than the log needs no further check of completeness),
+ * then by the removal of its digest. Events do not trigger a sweep of the entries.
  *
  * The idea is from X. Bai and F. P. Junqueira, "Online Result Cache
  * Invalidation for Real-time Web Search".
@@ -60,7 +60,7 @@
     const predatesLog = sentAtMs + this.#opts.eventLagMs < log.completeSinceMs
     if (predatesLog && nowMs - sentAtMs > this.#opts.unconfirmedLifeMs) return false
     const removedAtMs = log.removedAtMs.get(digest)
-    // A removal is heard of late: one that arrived shortly after the send may be older than it.
+    // Events are delayed: a removal event received shortly after the send may be older than the send.
     return removedAtMs === undefined || removedAtMs < sentAtMs + this.#opts.eventLagMs
   }
 }
--- a/scheduling/prefix-index/src/noPrefixIndex.ts
+++ b/scheduling/prefix-index/src/noPrefixIndex.ts
@@ -1,6 +1,6 @@
 import { PrefixIndex } from './prefixIndex.js'
 
-/** Knows nothing: the baseline without prefix locality. */
+/** Keeps no entries: the baseline without prefix locality. */
 export class NoPrefixIndex extends PrefixIndex {
   noteSent (): void {}
 
--- a/scheduling/prefix-index/src/prefixIndex.ts
+++ b/scheduling/prefix-index/src/prefixIndex.ts
@@ -1,28 +1,28 @@
-/** A prompt's first `tokens` tokens, named by their digest. */
+/** The first `tokens` tokens of a prompt, identified by their digest. */
 export interface CachedPrefix {
   digest: string
   tokens: number
 }
 
-/** What an engine says it dropped. Late, and with gaps. */
+/** Cache removals reported by an engine. Reports are delayed and may have gaps. */
 export interface RemovalPage {
   removedDigests: readonly string[]
   /** Events before this page were lost. */
   afterGap: boolean
 }
 
-/** A guess, with an age, of which prefixes an engine has cached. */
+/** Estimates which prefixes each engine has cached. */
 export abstract class PrefixIndex {
-  /** The engine was sent a prompt with these prefixes. */
+  /** Records that a prompt with these prefixes was sent to the engine. */
   abstract noteSent (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): void
 
-  /** Tokens of the longest prefix that the engine probably has. */
+  /** Number of tokens of the longest prefix that the engine has probably cached. */
   abstract cachedTokens (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): number
 
   abstract recordRemovals (engine: string, page: RemovalPage, nowMs: number): void
 
   abstract removeEngine (engine: string): void
 
-  /** Entries held, for the dump. */
+  /** Number of entries, for the state dump. */
   abstract get size (): number
 }
--- a/scheduling/prefix-index/src/timeLimitPrefixIndex.ts
+++ b/scheduling/prefix-index/src/timeLimitPrefixIndex.ts
@@ -1,6 +1,6 @@
 import { EntriesPrefixIndex } from './entriesPrefixIndex.js'
 
-/** Takes a prefix for cached for a fixed time after it was sent. */
+/** Assumes that a prefix stays cached for a fixed time after it was sent. */
 export class TimeLimitPrefixIndex extends EntriesPrefixIndex {
   readonly #lifeMs: number
 
--- a/scheduling/prefix-index/test/prefixIndex.ts
+++ b/scheduling/prefix-index/test/prefixIndex.ts
@@ -10,7 +10,7 @@
   return index
 }
 
-test('an index knows the longest prefix that an engine was sent', (t) => {
+test('an index finds the longest prefix that was sent to an engine', (t) => {
   const known = [PrefixIndexKind.TimeLimit, PrefixIndexKind.Events, PrefixIndexKind.HitJudged]
   known.forEach((kind) => {
     t.is(indexOf(kind).cachedTokens('e', [...PREFIXES, { digest: 'abc', tokens: 192 }], LATER_MS), 128, kind)
@@ -19,7 +19,7 @@
   t.is(indexOf(PrefixIndexKind.None).cachedTokens('e', PREFIXES, 0), 0)
 })
 
-test('a removal is believed, unless it is older than the last send', (t) => {
+test('a removal is applied unless it is older than the last send', (t) => {
   const kinds = [PrefixIndexKind.Events, PrefixIndexKind.HitJudged]
   kinds.forEach((kind) => {
     const index = indexOf(kind)
@@ -30,14 +30,14 @@
   })
 })
 
-test('a time limit forgets by time alone', (t) => {
+test('the time limit index expires entries by age only', (t) => {
   const index = indexOf(PrefixIndexKind.TimeLimit)
   index.recordRemovals('e', { removedDigests: ['ab'], afterGap: false }, LATER_MS)
   t.is(index.cachedTokens('e', PREFIXES, LATER_MS), 128)
   t.is(index.cachedTokens('e', PREFIXES, 31_000), 0)
 })
 
-test('a gap in the events makes old entries doubtful', (t) => {
+test('a gap in the events invalidates old entries', (t) => {
   const events = indexOf(PrefixIndexKind.Events)
   events.recordRemovals('e', { removedDigests: [], afterGap: true }, LATER_MS)
   t.is(events.cachedTokens('e', PREFIXES, LATER_MS), 0)
@@ -47,7 +47,7 @@
   t.is(judged.cachedTokens('e', PREFIXES, 40_000), 0)
 })
 
-test('what an index holds is bounded', (t) => {
+test('the number of entries per engine is bounded', (t) => {
   const index = createPrefixIndex(PrefixIndexKind.Events)
   for (let i = 0; i < 10_000; i++) index.noteSent('e', [{ digest: String(i), tokens: 64 }], i)
   t.is(index.size, 4000)
