--- a/scheduling/scheduler/src/answerLengthEstimator.ts
+++ b/scheduling/scheduler/src/answerLengthEstimator.ts
@@ -1,15 +1,15 @@
-/** Before any answer has ended: longer than most turn out, so that memory is not promised twice. */
+/** Used until the first answer ends. Longer than most answers are, so that memory is not overcommitted. */
 const INITIAL_SHARE = 0.6
-/** Weight of one answer: some forty are remembered. */
+/** Weight of one answer: the average covers about 40 answers. */
 const EWMA_WEIGHT = 0.025
-/** Answers that end during a burst are the short ones; the share is not believed below this. */
+/** Lower bound of the share: the answers that end during a burst are mostly short ones. */
 const MIN_SHARE = 0.2
 
-/** Learns how much of their longest length answers usually reach. */
+/** Estimates the length of answers as a share of their maximum length. */
 export class AnswerLengthEstimator {
   #share = INITIAL_SHARE
 
-  /** Mean length over longest length of late answers. */
+  /** EWMA of answer length divided by maximum length over recent answers. */
   get typicalShare (): number {
     return Math.max(MIN_SHARE, this.#share)
   }
--- a/scheduling/scheduler/src/clientShares.ts
+++ b/scheduling/scheduler/src/clientShares.ts
@@ -1,10 +1,10 @@
-/** Use is forgotten with this time constant. */
+/** Time constant with which usage decays. */
 const USAGE_DECAY_MS = 5000
-/** A client may use this much more than its share before it lets others go first: shares are uneven in the short run. */
+/** A client may exceed its share by this factor before others go first: usage is uneven in the short run. */
 const TOLERANCE = 1.5
-/** Use below this (engine time in ms) counts as none. */
+/** Usage below this (engine time in ms) counts as none. */
 const NEGLIGIBLE_USAGE_MS = 50
-/** The fair share is worked out again this often. */
+/** Interval at which the fair share is recomputed. */
 const FAIR_SHARE_REFRESH_MS = 100
 
 interface ClientUsage {
@@ -14,16 +14,16 @@
 }
 
 /**
- * Weighted shares of client accounts, by the engine time that each has used of
- * late. A client over its share goes behind all others that wait, so that one
- * that floods takes what is left over and no more.
+ * Weighted fair shares of client accounts, by the engine time that each has used
+ * recently. Clients over their share are placed after all others, so that a client
+ * that sends too much only gets the capacity that the others leave.
  */
 export class ClientShares {
   readonly #usages = new Map<string, ClientUsage>()
   #fairMsPerWeight = 0
   #refreshedAtMs = Number.NEGATIVE_INFINITY
 
-  /** Whether a client has used more than its share. */
+  /** Whether a client's recent usage exceeds its share. */
   isOverShare (client: string, nowMs: number): boolean {
     const use = this.#usages.get(client)
     if (!use) return false
@@ -35,7 +35,7 @@
     this.#usages.set(client, { usedMs: (use ? decayedUsageMs(use, nowMs) : 0) + costMs, weight, atMs: nowMs })
   }
 
-  /** What each unit of weight would have used if all clients that use anything had used alike. */
+  /** Usage per unit of weight if the total were split evenly over the active clients. */
   #fairShareMs (nowMs: number): number {
     if (nowMs - this.#refreshedAtMs < FAIR_SHARE_REFRESH_MS) return this.#fairMsPerWeight
     this.#refreshedAtMs = nowMs
--- a/scheduling/scheduler/src/decideAdmission.ts
+++ b/scheduling/scheduler/src/decideAdmission.ts
@@ -1,56 +1,56 @@
-/** What becomes of a request that is not placed at once. */
+/** Admission decision for a request that is not placed at once. */
 export enum AdmissionOutcome {
-  /** It waits, and its first token will probably be in time. */
+  /** The request waits, and its first token will probably be in time. */
   InTime = 'inTime',
-  /** It waits, and its first token will probably be late but still of use. */
+  /** The request waits, and its first token will probably be late but still useful. */
   Late = 'late',
   Refused = 'refused',
 }
 
-/** What is known of a request and its shard at one moment. */
+/** State of a request and its shard at the time of the decision. */
 export interface AdmissionInputs {
-  /** Least time to its first token if it were placed at once; nothing when no engine takes work. */
+  /** Minimum time to its first token if it were placed at once; undefined if no engine takes work. */
   minTtftMs?: number
-  /** Requests that go before it because they can be in time, or are more urgent. */
+  /** Number of requests ahead of it that can be in time or have a higher priority. */
   aheadInTime: number
-  /** Others that go before it. */
+  /** Number of late requests ahead of it. */
   aheadLate: number
-  /** Requests that were promised a place and will come back for it before this one is late. */
+  /** Number of outstanding retries with a promised slot that are due before this request is late. */
   aheadDue: number
-  /** From one free place to the next; 0 when nothing is known. */
+  /** Mean time between free slots; 0 if unknown. */
   msPerPlace: number
-  /** From one new request to the next; nothing when it is not known. */
+  /** Mean time between new requests; undefined if unknown. */
   msPerArrival?: number
-  /** Standard error of the rates, as a part of them. */
+  /** Relative standard error of the rates. */
   rateError: number
-  /** From its placement to its first token, at least. */
+  /** Minimum time from the end of its prefill to its first token. */
   handoverMs: number
-  /** Until a first token is late, for a caller who counts from the first try. */
+  /** Time left until the first token is late, counted from the caller's first attempt. */
   inTimeLeftMs: number
-  /** Until a first token is of no use. */
+  /** Time left until the first token is no longer useful. */
   usefulLeftMs: number
-  /** It was refused before and came back when told to. */
+  /** Whether it is a retry at the assigned time. */
   returned: boolean
-  /** It was promised a place and came back when told to. */
+  /** Whether it is a retry at the assigned time that was promised a slot. */
   promised: boolean
-  /** It has been kept waiting before this decision. */
+  /** Whether an earlier decision kept it waiting. */
   kept: boolean
 }
 
 export interface AdmissionDecision {
   outcome: AdmissionOutcome
-  /** Expected time to the first token. Infinite when none is in sight. */
+  /** Expected time to the first token; infinite if no slot is expected. */
   estimateMs: number
   errorMs: number
   reason: string
 }
 
 /**
- * Whether a request is kept waiting. One that can probably be served in time is
- * kept. One that can only be served late goes behind those, and is kept if a
- * place for it is in sight even when the estimate errs. Anything else is refused,
- * in the moment in which that is known: waiting would cost its caller time for
- * nothing.
+ * Decides whether a request is kept waiting. A request that can probably be served in
+ * time is kept. A request that can only be served late goes behind those, and is kept
+ * if a slot is expected while its answer is useful, with the estimate's error taken into
+ * account. All others are refused as soon as this is known, since waiting would only cost
+ * their callers time.
  */
 export function decideAdmission (inputs: AdmissionInputs): AdmissionDecision {
   const { minTtftMs, inTimeLeftMs, usefulLeftMs, msPerPlace, rateError, handoverMs, returned, promised, kept } = inputs
@@ -58,22 +58,22 @@
   if (minTtftMs > usefulLeftMs) return refuse(minTtftMs, 0, 'the first token would be late')
   const waitForMs = (slots: number, msPerSlot: number) => Math.max(minTtftMs, slots * msPerSlot + handoverMs)
   const estimateMs = waitForMs(inputs.aheadInTime + inputs.aheadDue + 1, msPerPlace)
-  if (estimateMs <= inTimeLeftMs) return { outcome: AdmissionOutcome.InTime, estimateMs, errorMs: rateError * estimateMs, reason: 'a place in time is in sight' }
-  // What a request has waited is lost if it is refused now, and a second refusal costs its caller as much as
-  // waiting for nothing: for these, the error counts in their favour.
+  if (estimateMs <= inTimeLeftMs) return { outcome: AdmissionOutcome.InTime, estimateMs, errorMs: rateError * estimateMs, reason: 'a slot is expected in time' }
+  // Refusing a request that has waited loses the time it waited, and a second refusal costs its caller as much as
+  // waiting in vain: for these requests the error counts in their favour.
   const favoured = kept || returned
   const lateEstimateMs = waitForMs(inputs.aheadInTime + inputs.aheadDue + inputs.aheadLate + 1, msPerLatePlace(inputs, 0))
   const boundMs = waitForMs(inputs.aheadInTime + inputs.aheadDue + inputs.aheadLate + 1, msPerLatePlace(inputs, favoured ? rateError : -rateError))
   const errorMs = Number.isFinite(lateEstimateMs) && Number.isFinite(boundMs) ? Math.abs(boundMs - lateEstimateMs) : 0
-  if (promised || boundMs <= usefulLeftMs) return { outcome: AdmissionOutcome.Late, estimateMs: lateEstimateMs, errorMs, reason: 'a place is in sight, late' }
+  if (promised || boundMs <= usefulLeftMs) return { outcome: AdmissionOutcome.Late, estimateMs: lateEstimateMs, errorMs, reason: 'a slot is expected, but late' }
   return refuse(lateEstimateMs, errorMs, reasonOf(inputs))
 }
 
 /**
- * From one place to the next of those that are left for late requests: newcomers
- * that can be in time take theirs before.
+ * Mean time between the free slots that are left for late requests, after new requests
+ * that can be in time have taken theirs.
  *
- * @param error part by which places are taken to come faster, and newcomers more slowly, than was counted
+ * @param error relative correction: slots are assumed to become free faster, and new requests to arrive more slowly, than counted
  */
 export function msPerLatePlace ({ msPerPlace, msPerArrival }: Pick<AdmissionInputs, 'msPerPlace' | 'msPerArrival'>, error: number): number {
   if (msPerPlace === 0) return 0
@@ -83,8 +83,8 @@
 }
 
 function reasonOf ({ aheadInTime, aheadLate, msPerPlace, msPerArrival }: AdmissionInputs): string {
-  const arrivals = msPerArrival === undefined ? '' : `, and a request comes every ${Math.round(msPerArrival)} ms`
-  return `${aheadInTime + aheadLate} requests wait before it, a place becomes free every ${Math.round(msPerPlace)} ms${arrivals}`
+  const arrivals = msPerArrival === undefined ? '' : `, and a request arrives every ${Math.round(msPerArrival)} ms`
+  return `${aheadInTime + aheadLate} requests are queued ahead, a slot becomes free every ${Math.round(msPerPlace)} ms${arrivals}`
 }
 
 function refuse (estimateMs: number, errorMs: number, reason: string): AdmissionDecision {
--- a/scheduling/scheduler/src/decideQueue.ts
+++ b/scheduling/scheduler/src/decideQueue.ts
@@ -1,25 +1,25 @@
 import { type AdmissionDecision, type AdmissionInputs, AdmissionOutcome, decideAdmission } from './decideAdmission.js'
 import { type WaitingRequest } from './waitingQueue.js'
 
-/** What is known of a shard at one moment, for all that wait there. */
+/** State of a shard at the time of the decision, common to all waiting requests. */
 export interface QueueInputs extends Pick<AdmissionInputs, 'msPerPlace' | 'msPerArrival' | 'rateError'> {
   nowMs: number
-  /** Least time to a request's first token if it were placed at once; nothing when no engine takes work. */
+  /** Minimum time to a request's first token if it were placed at once; undefined if no engine takes work. */
   minTtftMs: (waiting: WaitingRequest) => number | undefined
-  /** A client has used more than its share. */
+  /** Whether a client's recent usage exceeds its share. */
   isOverShare: (client: string) => boolean
-  /** When requests come back for places that they were promised, sorted. */
+  /** Due times of outstanding retries with a promised slot, sorted. */
   promisesDueAtMs: readonly number[]
 }
 
-/** A decision with what it was made from. */
+/** An admission decision and its inputs. */
 export interface QueueDecision {
   waiting: WaitingRequest
   inputs: AdmissionInputs
   decision: AdmissionDecision
 }
 
-/** Decides of each request that waits whether it is kept: more urgent ones first, and otherwise in the order in which they are placed. */
+/** Decides for each waiting request whether it is kept: by descending priority, and within one priority in placement order. */
 export function decideQueue (waiting: readonly WaitingRequest[], queueInputs: QueueInputs): QueueDecision[] {
   const priorities = [...new Set(waiting.map(({ request }) => request.priority))].sort((a, b) => b - a)
   return priorities.reduce<QueueDecision[]>((decided, priority) => {
@@ -28,7 +28,7 @@
   }, [])
 }
 
-/** Decides of requests of one priority. Those that are late go behind all that go before them, wherever these stand. */
+/** Decides for requests of one priority. Late requests go behind all requests that can be in time or have a promised slot. */
 function decideSamePriority (samePriority: readonly WaitingRequest[], before: number, queueInputs: QueueInputs): QueueDecision[] {
   const first: QueueDecision[] = []
   const late = samePriority.filter((waiting) => {
@@ -68,7 +68,7 @@
   return { waiting, inputs, decision: decideAdmission(inputs) }
 }
 
-/** Those with a promise; then clients that are not ahead of their share; then by first arrival. */
+/** Orders requests with a promised slot first, then those of clients within their share, then by first arrival. */
 function inOrder (samePriority: readonly WaitingRequest[], { isOverShare }: QueueInputs): WaitingRequest[] {
   const rankOf = ({ promiseDueAtMs, request: { client } }: WaitingRequest) => (promiseDueAtMs !== undefined ? 0 : 2) + (isOverShare(client) ? 1 : 0)
   return samePriority
@@ -81,7 +81,7 @@
   return decision.outcome !== AdmissionOutcome.Refused
 }
 
-/** How many of the sorted values are no larger than a bound. */
+/** Counts the sorted values that are at most a bound. */
 function countUpTo (sorted: readonly number[], bound: number): number {
   let low = 0
   let high = sorted.length
--- a/scheduling/scheduler/src/describeEngines.ts
+++ b/scheduling/scheduler/src/describeEngines.ts
@@ -1,6 +1,6 @@
 import { type EngineAccount, type ShardLedger } from '@reelspan/scheduling.ledger'
 
-/** A shard's engines and what is reserved on them, for the dump. */
+/** Describes a shard's engines and their reservations for the state dump. */
 export function describeEngines (ledger: ShardLedger, nowMs: number) {
   const common = (engine: EngineAccount<unknown>) => ({
     name: engine.name,
--- a/scheduling/scheduler/src/engineLimits.ts
+++ b/scheduling/scheduler/src/engineLimits.ts
@@ -4,13 +4,13 @@
 
 export interface EngineLimitsOptions {
   clock: Clock
-  /** Requests a second that an engine takes; nothing where it names no limit. */
+  /** Requests per second that an engine accepts; undefined if it advertises no limit. */
   perSecond?: (engine: string) => number | undefined
 }
 
 /**
- * What a scheduler may still place on engines that name a limit. Whoever sends a request needs a permit as well;
- * this keeps the scheduler from choosing engines that have none left, and from leaving out those that have.
+ * Token buckets that estimate how many requests engines with a rate limit still accept. The sender of a request
+ * needs a permit as well; these buckets keep the scheduler from choosing engines without permits or skipping those with some.
  */
 export class EngineLimits {
   readonly #opts: EngineLimitsOptions
@@ -25,12 +25,12 @@
     this.#tokenBuckets = new LimitBook({ clock: opts.clock, planOf })
   }
 
-  /** How long until an engine takes another request; 0 where it does now. */
+  /** Time until an engine accepts another request; 0 if it does now. */
   waitMs (engine: string): number {
     return this.#opts.perSecond?.(engine) === undefined ? 0 : this.#tokenBuckets.waitMs(engine, 1)
   }
 
-  /** A request was placed on these engines. */
+  /** Takes a permit of each engine that a request was placed on. */
   recordPlacement (engines: readonly string[]): void {
     new Set(engines).forEach((engine) => this.#tokenBuckets.take(engine, 1))
   }
--- a/scheduling/scheduler/src/placementChooser.ts
+++ b/scheduling/scheduler/src/placementChooser.ts
@@ -14,44 +14,44 @@
   placesLimit: SlotLimit
   /** The route of the shard's model. */
   route: () => RouteSpec | undefined
-  /** Engines that fail of late. */
+  /** Whether an engine is suspected of failing. */
   isSuspect: (engine: string) => boolean
   limits: EngineLimits
 }
 
-/** A prefill engine that takes work, as of one moment. */
+/** A prefill engine that takes work, at a given time. */
 export interface ReadyEngine {
   engine: EngineAccount<PrefillAccount>
-  /** Its place among the shard's prefill engines. */
+  /** Index among the shard's prefill engines. */
   poolIndex: number
   freeAtMs: number
   speedFactor: number
 }
 
-/** A waiting request and the engine it would go to. */
+/** A waiting request and the prefill engine that suits it best. */
 interface Candidate {
   waiting: WaitingRequest
   ready: ReadyEngine
   costMs: number
 }
 
-/** A request and where it goes. */
+/** A request and its chosen placement. */
 export interface Choice {
   waiting: WaitingRequest
   estimate: PlacementEstimate
 }
 
-/** A prefill is handed to an engine when the engine is this close to done with the one before. */
+/** A prefill is dispatched to an engine this long before the engine's current work ends. */
 export const DISPATCH_LOOKAHEAD_MS = 25
 const MAX_CANDIDATES_TRIED = 3
-/** Prefill work that an engine gets done while a request can wait, about. */
+/** Approximate prefill work that an engine completes while a request can wait. */
 const BACKLOG_PER_ENGINE_MS = 150
-/** A prefill that fails costs about this much time until it is made again elsewhere. */
+/** Approximate time lost when a prefill fails and is repeated on another engine. */
 const SUSPECT_PENALTY_MS = 300
 const MIN_PRESSURE = 0.3
 const MAX_PRESSURE = 2
 
-/** Chooses which waiting request goes next, and where. */
+/** Chooses the waiting request to place next, and its engines. */
 export class PlacementChooser {
   readonly #ledger: ShardLedger
   readonly #estimator: PlacementEstimator
@@ -71,7 +71,7 @@
     this.#limits = limits
   }
 
-  /** The prefill engines that take work and whose version some decode engine serves too, and when each can begin another prefill. */
+  /** The prefill engines that take work and whose version is also served by a decode engine, with the time at which each can start another prefill. */
   readyEngines (nowMs: number): ReadyEngine[] {
     const decodable = new Set(this.#ledger.decodeEngines().map((decode) => this.#ledger.servedVersion(decode, nowMs)))
     return this.#ledger.prefillEngines().flatMap((engine, poolIndex) => {
@@ -81,13 +81,13 @@
     })
   }
 
-  /** An engine at its limit is as good as busy until it takes another request; one is not handed out sooner. */
+  /** An engine at its rate limit counts as busy until it accepts another request, and nothing is dispatched to it earlier. */
   #permittedAtMs (engine: string, nowMs: number): number {
     const waitMs = this.#limits.waitMs(engine)
     return waitMs > 0 ? nowMs + waitMs + DISPATCH_LOOKAHEAD_MS : Number.NEGATIVE_INFINITY
   }
 
-  /** How long until some decode engine takes another request, as far as limits go; nothing when there is none that takes work. */
+  /** Time until the rate limit of any decode engine permits another request; undefined if none takes work. */
   decodePermitWaitMs ({ request }: WaitingRequest, nowMs: number): number | undefined {
     const waitsMs = this.#ledger.decodeEngines()
       .filter((decode) => this.#ledger.servedVersion(decode, nowMs) !== undefined && !request.avoid.includes(decode.name))
@@ -96,9 +96,9 @@
   }
 
   /**
-   * The waiting request that makes best use of an engine that is about to be free.
+   * Chooses the waiting request that makes the best use of an engine that is about to be free.
    *
-   * @param queuedPrefillMs least prefill work of all that wait
+   * @param queuedPrefillMs total prefill work of all waiting requests
    */
   choose (queue: readonly WaitingRequest[], queuedPrefillMs: number, nowMs: number): Choice | undefined {
     if (queue.length === 0) return undefined
@@ -114,14 +114,13 @@
   }
 
   /**
-   * The first request, by urgency and then in the order in which they came, whose decode engine would be
-   * done with its prompt before the prefill engines are, behind all that wait before it.
-   * A decode engine takes longer and holds its streams up meanwhile (about 190 ms of
-   * each for a prompt of 3,200 tokens), so prefill engines that are free go first.
+   * Chooses the first request, by priority and then order of arrival, that a decode engine would prefill sooner
+   * than the prefill engines, which would first do the work of the requests ahead of it. A decode engine takes longer
+   * and delays its streams meanwhile (each by about 190 ms for a prompt of 3,200 tokens), so free prefill engines are used first.
    */
   #chooseOwnPrefill (waitingRequests: readonly WaitingRequest[], engines: readonly ReadyEngine[], nowMs: number): Choice | undefined {
     const queue = [...waitingRequests].sort((a, b) => b.request.priority - a.request.priority)
-    // What the first one does not find, the next seldom does.
+    // If no engine fits the first request, the next ones rarely find one.
     const first = queue.find(({ request }) => request.allowsOwnPrefill)
     const soonest = first && this.#estimateOwnPrefill(first, nowMs)
     if (!soonest) return undefined
@@ -133,7 +132,7 @@
     return estimate && estimate.firstTokenMs < pooledAtMs[gaining] && estimate.firstTokenMs <= waiting.usefulUntilMs ? { waiting, estimate } : undefined
   }
 
-  /** When each request would have its first token if the prefill engines took them in this order. */
+  /** Time of each request's first token if the prefill engines took the requests in this order. */
   #pooledFirstTokensMs (queue: readonly WaitingRequest[], engines: readonly ReadyEngine[], nowMs: number): number[] {
     if (engines.length === 0) return queue.map(() => Number.POSITIVE_INFINITY)
     let workMs = engines.reduce((sum, { freeAtMs }) => sum + Math.max(0, freeAtMs - nowMs), 0)
@@ -149,7 +148,7 @@
     return this.#estimator.estimateOwnPrefill(request, { usableSlots: this.#usableSlots(request), nowMs })
   }
 
-  /** The least time to a first token if a decode engine computes the prompt itself, though all may be full now; nothing when none takes work. */
+  /** Minimum time until a decode engine has computed the prompt itself, even if all are full now; undefined if none takes work. */
   minOwnPrefillMs ({ request }: WaitingRequest, nowMs: number): number | undefined {
     const timesMs = this.#ledger.decodeEngines().flatMap((decode) => {
       const takesWork = this.#ledger.servedVersion(decode, nowMs) !== undefined && !request.avoid.includes(decode.name)
@@ -163,19 +162,19 @@
     return Math.min(this.#placesLimit.slots, this.#estimator.usableSlots(tbtTargetMs, this.#route()))
   }
 
-  /** How much more prefill work waits than the engines can do before it is late: from 0.3 when nothing waits, up to 2. */
+  /** Backlog of prefill work relative to what the engines complete before it is late: from 0.3 with an empty queue, up to 2. */
   #pressure (queuedPrefillMs: number, engineCount: number): number {
     return Math.min(MAX_PRESSURE, MIN_PRESSURE + queuedPrefillMs / (engineCount * BACKLOG_PER_ENGINE_MS))
   }
 
-  /** Time that a prefill takes on an engine. Remembered while the request waits; it depends on what is cached there. */
+  /** Duration of a prefill on an engine. It depends on the prefixes cached there, and is itself cached while the request waits. */
   costMs ({ request, prefillCostsMs }: WaitingRequest, { engine, poolIndex, speedFactor }: ReadyEngine, nowMs: number): number {
     const costMs = prefillCostsMs[poolIndex] ?? this.#estimator.prefillCostMs(request, engine.name, nowMs)
     prefillCostsMs[poolIndex] = costMs
     return costMs * speedFactor
   }
 
-  /** The engine with the earliest first token, where work that a cached prefix would save counts as time under pressure. */
+  /** The engine with the earliest first token. Under pressure, prefill work counts as additional time, which favours engines with a cached prefix. */
   #bestEngine (waiting: WaitingRequest, engines: readonly ReadyEngine[], { pressure, nowMs }: { pressure: number, nowMs: number }): ReadyEngine | undefined {
     const { request: { avoid }, usefulUntilMs, handoverMs } = waiting
     let best: ReadyEngine | undefined
@@ -192,10 +191,10 @@
   }
 
   /**
-   * Priority first; then those whose promise is due; then those that can still be
-   * in time; then others that were promised a place; then clients that are not
-   * ahead of their share; then in order of their first arrival, where less work
-   * makes up for having come later.
+   * Orders by priority; then requests whose promised slot is due; then those that can
+   * still be in time; then others with a promised slot; then those of clients within
+   * their share; then by first arrival plus prefill duration, so that less work makes
+   * up for a later arrival.
    */
   #inOrder (candidates: Candidate[], nowMs: number): Candidate[] {
     if (candidates.length <= 1) return candidates
@@ -213,7 +212,7 @@
       .map(({ candidate }) => candidate)
   }
 
-  /** The first of the candidates that a decode engine has room for. Few are tried: what one does not find, the next seldom does. */
+  /** The first candidate that fits on a decode engine. Only a few are tried: if none fits one candidate, the next rarely fits either. */
   #firstThatFits (candidates: readonly Candidate[], nowMs: number): Choice | undefined {
     for (const { waiting, ready, costMs } of candidates.slice(0, MAX_CANDIDATES_TRIED)) {
       const { request, usefulUntilMs } = waiting
--- a/scheduling/scheduler/src/placementEstimator.ts
+++ b/scheduling/scheduler/src/placementEstimator.ts
@@ -6,9 +6,9 @@
 import { type EngineLimits } from './engineLimits.js'
 import { ownPrefillMs, slotsWithinTarget, prefillMs, requestKvBytes, transferMs } from '@reelspan/scheduling.shards'
 
-/** What a placement on a certain pair of engines would come to. Times are on this box's clock. */
+/** Estimated times and costs of a placement on a given pair of engines. Times are on this box's clock. */
 export interface PlacementEstimate {
-  /** The decode engine, when that computes the prompt itself. */
+  /** The decode engine if it computes the prompt itself. */
   prefill: EngineAccount<unknown>
   decode: EngineAccount<DecodeAccount>
   importEndMs: number
@@ -21,7 +21,7 @@
 /** The prefill part of an estimate. */
 export interface PrefillEstimate {
   prefill: EngineAccount<PrefillAccount>
-  /** When its engine is free again. */
+  /** Time at which its engine is free again. */
   endMs: number
   costMs: number
 }
@@ -36,22 +36,22 @@
   ledger: ShardLedger
   index: PrefixIndex
   lengths: AnswerLengthEstimator
-  /** Engines that fail of late. */
+  /** Whether an engine is suspected of failing. */
   isSuspect: (engine: string) => boolean
   limits: EngineLimits
 }
 
-/** Steps may take this much longer than declared before a place is counted as free too early. */
+/** Steps may take up to this many times their declared duration before a slot is counted as free too early. */
 const STEP_SLACK = 1.15
-/** A request joins the batch in the middle of a step, on average, and gets its first token at the end of the next. */
+/** On average a request joins the batch in the middle of a step and gets its first token at the end of the next step. */
 const STEPS_TO_FIRST_TOKEN = 1.5
 
 /**
- * Room, as a part of an engine, that is worth an availability zone less on the way: about one stream of ten.
- * KV cache takes twice as long between zones, and streams through another zone cost their operators more.
+ * Share of an engine's capacity by which an engine in a remote availability zone is ranked lower, about one stream
+ * of ten. KV cache transfers take twice as long between zones, and traffic between zones costs operators more.
  */
 const REMOTE_ZONE_CAPACITY_PENALTY = 0.1
-/** The same for an engine that computes the prompt itself: about the way of a request and of its first token. */
+/** The same for an engine that computes the prompt itself: about the network delay of the request and its first token. */
 const REMOTE_ZONE_PENALTY_MS = 20
 
 /** Estimates placements from the ledger and the prefix index. */
@@ -70,46 +70,46 @@
     this.#limits = limits
   }
 
-  /** Places of a decode engine that this route may use and that keep the time between tokens within the target. */
+  /** Number of slots of a decode engine that this route may use and that keep the time between tokens within the target. */
   usableSlots (tbtTargetMs: number, route?: RouteSpec): number {
     const { shard } = this.#ledger
     const shared = Math.max(1, Math.floor(shard.decodePool.placesPerEngine * (route?.poolSharePercent ?? 100) / 100))
     return Math.min(shared, slotsWithinTarget(shard, tbtTargetMs))
   }
 
-  /** Time that the prefill takes on an engine, by what is probably cached there. */
+  /** Duration of the prefill on an engine, given the prefix that is probably cached there. */
   prefillCostMs (request: ReserveRequest, engine: string, nowMs: number): number {
     const cached = this.#index.cachedTokens(engine, request.prefixes, nowMs)
     return prefillMs(this.#ledger.shard, request.promptTokens - cached)
   }
 
-  /** Time in which a decode engine computes the prompt itself; nothing when that cannot be. What is cached there is not known. */
+  /** Time in which a decode engine computes the prompt itself; undefined if it cannot. Its cached prefixes are not known. */
   ownPrefillMs ({ promptTokens, allowsOwnPrefill }: ReserveRequest, { account }: EngineAccount<DecodeAccount>): number | undefined {
     const declaredMs = allowsOwnPrefill ? ownPrefillMs(this.#ledger.shard, promptTokens) : undefined
     return declaredMs === undefined ? undefined : declaredMs * account.ownPrefills.speedFactor
   }
 
-  /** The least time from when a prefill's engine is free again to its first token. */
+  /** Minimum time from the end of the prefill to the first token. */
   handoverMs (request: ReserveRequest): number {
     const { shard } = this.#ledger
     return shard.spec.prefillLatencyMs + transferMs(shard, request.promptTokens) + shard.spec.decodeStepBaseMs
   }
 
-  /** How long the answer lasts on a lightly loaded engine, if it is as long as answers usually are. */
+  /** Duration of an answer of typical length on a lightly loaded engine. */
   typicalAnswerMs ({ maxTokens }: ReserveRequest): number {
     return this.#lengths.typicalShare * maxTokens * this.#ledger.shard.spec.decodeStepBaseMs
   }
 
-  /** Completes an estimate with the decode engine that has most room when the prefill ends, if one has any. Those that fail of late come last. */
+  /** Completes an estimate with the decode engine that has the most free capacity, or returns undefined if none has enough. Suspected engines are tried last. */
   estimateDecode (request: ReserveRequest, part: PrefillEstimate, { usableSlots, objective, nowMs }: DecodeOptions): PlacementEstimate | undefined {
     const { shard } = this.#ledger
     const { spec, decodePool } = shard
     const kvBytes = requestKvBytes(shard, request, this.#lengths.typicalShare)
     const capacity = { slots: usableSlots, kvBytes: decodePool.kvBytesPerEngine }
     const version = this.#ledger.servedVersion(part.prefill, nowMs)
-    // KV cache of one version means nothing to another.
+    // The KV cache of one model version is not usable by another.
     const engines = this.#ledger.decodeEngines().filter((decode) => this.#ledger.servedVersion(decode, nowMs) === version && this.#accepts(decode, request))
-    // A place that is free only by the time the prefill ends may still be lost to a fault: some routes do not bet on it.
+    // A slot expected to be free by the end of the prefill may be lost to a fault, which wastes the prefill; some routes do not count on it.
     const countsEndingStreams = objective !== RouteObjective.WastedPrefill
     const zones = [part.prefill.availabilityZone, request.availabilityZone]
     const mostFreeOf = (candidates: readonly EngineAccount<DecodeAccount>[]) =>
@@ -124,7 +124,7 @@
     return { prefill: part.prefill, decode, ...times, costMs: part.costMs, kvBytes }
   }
 
-  /** The estimate with the decode engine that would be done first with computing the prompt itself, of those that have room now. */
+  /** Returns the estimate for the decode engine that would finish the prompt first, among those with free capacity now. */
   estimateOwnPrefill (request: ReserveRequest, { usableSlots, nowMs }: DecodeOptions): PlacementEstimate | undefined {
     const { shard } = this.#ledger
     const kvBytes = requestKvBytes(shard, request, this.#lengths.typicalShare)
@@ -142,12 +142,12 @@
     return estimates.sort((a, b) => penalizedFirstTokenMs(a) - penalizedFirstTokenMs(b))[0]
   }
 
-  /** Whether an engine takes the request at all, room aside. */
+  /** Whether an engine may get the request, capacity aside. */
   #accepts ({ name }: EngineAccount<unknown>, { avoid }: ReserveRequest): boolean {
     return !avoid.includes(name) && this.#limits.waitMs(name) === 0
   }
 
-  /** When a stream begins and surely has ended, on an engine that has its KV cache from a time on. */
+  /** Times at which a stream starts and has certainly ended, given the time at which its KV cache is available. */
   #streamTimes ({ maxTokens }: ReserveRequest, importEndMs: number, usableSlots: number, batch: number) {
     const { spec } = this.#ledger.shard
     const fullStepMs = spec.decodeStepBaseMs + spec.decodeStepPerRequestMs * usableSlots
@@ -162,12 +162,12 @@
 interface CapacitySearch {
   kvBytes: number
   capacity: DecodeCapacity
-  /** Availability zones that the stream has to do with: where its prompt is computed, and where its owner is. */
+  /** Availability zones of the prefill engine and of the request's owner. */
   zones: readonly (string | undefined)[]
   freeOf: (engine: EngineAccount<DecodeAccount>) => DecodeCapacity
 }
 
-/** The engine with most room, among those that have a place and the memory for it. Each zone that it is not in counts as if it had less. */
+/** The engine with the most free capacity, among those with a free slot and enough memory. Each remote zone is a penalty. */
 function findMostFree (engines: readonly EngineAccount<DecodeAccount>[], { kvBytes, capacity, zones, freeOf }: CapacitySearch) {
   let best: { decode: EngineAccount<DecodeAccount>, free: DecodeCapacity } | undefined
   let bestHeadroom = Number.NEGATIVE_INFINITY
@@ -186,7 +186,7 @@
   return free.slots >= 1 && free.kvBytes >= kvBytes
 }
 
-/** How many of the zones, as far as they are known, an engine is not in. */
+/** The number of known zones that differ from the engine's zone. */
 function countRemoteZones ({ availabilityZone }: EngineAccount<unknown>, zones: readonly (string | undefined)[]): number {
   return zones.filter((zone) => zone !== undefined && zone !== availabilityZone).length
 }
--- a/scheduling/scheduler/src/placementObservations.ts
+++ b/scheduling/scheduler/src/placementObservations.ts
@@ -5,16 +5,16 @@
 import { QuantileEstimator } from './quantileEstimator.js'
 import { type ObservedLoad, ShardLoad } from './shardLoad.js'
 
-/** First guess of how much later than estimated first tokens come. */
+/** Initial estimate of how much later than estimated first tokens arrive. */
 const INITIAL_TTFT_ERROR_MS = 10
 
-/** What the requests take of the engines, and whether decode engines could compute prompts. */
+/** The load per request, and the time decode engines would need for prompts. */
 export type ShardLoadEstimate = ObservedLoad & {
-  /** Time of a decode engine that a prompt takes which it computes itself; nothing where none can. */
+  /** Mean time in which a decode engine would compute a prompt itself; undefined if decode engines cannot prefill. */
   ownPrefillMs?: number
 }
 
-/** What is learnt from placements of one shard, as they are made and as they end. */
+/** Estimates from the placements of one shard, updated when requests arrive, are placed and end. */
 export class PlacementObservations {
   readonly lengths = new AnswerLengthEstimator()
   readonly placesLimit: SlotLimit
@@ -27,36 +27,36 @@
     this.placesLimit = new SlotLimit(ledger.shard.decodePool.placesPerEngine)
   }
 
-  /** How much later than estimated first tokens come, for most. */
+  /** Quantile of the delay of first tokens beyond their estimate. */
   get ttftErrorMs (): number {
     return this.#ttftError.valueMs
   }
 
-  /** A request came for the first time. */
+  /** Records a first attempt; retries are not counted. */
   recordArrival (nowMs: number): void {
     this.#load.recordArrival(nowMs)
   }
 
   /**
-   * A request was placed.
+   * Records that a request was placed.
    *
-   * @param prefillMs the time that its prompt would take of a prefill engine, whoever computes it
-   * @param usualAnswerMs how long its answer lasts if it is as long as answers usually are
+   * @param prefillMs time that its prompt would take on a prefill engine, even if a decode engine computes it
+   * @param typicalAnswerMs duration of its answer at the typical answer length
    */
   recordPlacement ({ prefillMs, typicalAnswerMs, kvBytes }: { prefillMs: number, typicalAnswerMs: number, kvBytes: number }): void {
     this.#load.recordPlacement(prefillMs, this.#engineShareOf(kvBytes) * typicalAnswerMs)
   }
 
-  /** An answer is whole. */
+  /** Records that a request has finished. */
   recordCompletion (entry: LedgerEntry, report: PlacementReport, nowMs: number): void {
     this.#load.recordCompletion(this.#engineShareOf(entry.kvBytes) * Math.max(0, nowMs - entry.importEndMs))
-    // What a decode engine computes itself has a speed of its own.
+    // Prefills on decode engines have a different speed.
     if (!isOwnPrefill(entry)) this.#ttftError.observe(report.ttftErrorMs)
     this.lengths.observe(report.completionTokens, entry.maxTokens)
     this.placesLimit.observe(report.tbtP50Ms, entry.tbtTargetMs)
   }
 
-  /** Nothing until enough requests were seen. */
+  /** Returns undefined until enough requests were observed. */
   observedLoad (nowMs: number): ShardLoadEstimate | undefined {
     const { prefillTokensPerSecond, decodePrefillTokensPerSecond } = this.#ledger.shard.spec
     const load = this.#load.observed(nowMs)
@@ -71,7 +71,7 @@
     }
   }
 
-  /** The part of a decode engine that a request fills, by its memory or its place. */
+  /** The share of a decode engine that a request occupies: of its memory or of its slots, whichever is larger. */
   #engineShareOf (kvBytes: number): number {
     const { kvBytesPerEngine, placesPerEngine } = this.#ledger.shard.decodePool
     return Math.max(kvBytes / kvBytesPerEngine, 1 / placesPerEngine)
--- a/scheduling/scheduler/src/placementRate.ts
+++ b/scheduling/scheduler/src/placementRate.ts
@@ -1,38 +1,37 @@
 import { RecentEvents } from './recentEvents.js'
 
-/** Placements and arrivals are counted over this time: some tens of them on a busy shard, and a burst shows within it. */
+/** Window for counting placements and arrivals: tens of them on a busy shard, and short enough to show a burst. */
 const WINDOW_MS = 2000
-/** Fewer placements than this say little, unless requests waited for the whole window. */
+/** Minimum number of placements for a rate, unless requests waited during the whole window. */
 const MIN_SAMPLES = 3
 
-/** A rate that was known when a queue emptied says something of the next queue for this long: bursts come some seconds apart. */
+/** The last rate of a queue is reused for the next queue within this time: bursts are some seconds apart. */
 const LAST_RATE_LIFE_MS = 10_000
-/** Standard error of what is remembered or nearly uncounted. */
+/** Standard error of a reused rate or one from few placements. */
 const MAX_ERROR = 0.5
 
-/** How fast places become free while requests wait for them, and how fast new requests come. */
+/** Rates at which slots become free while requests wait, and at which new requests arrive. */
 export class PlacementRate {
   readonly #placed = new RecentEvents(WINDOW_MS)
   readonly #arrived = new RecentEvents(WINDOW_MS)
   #idleUntilMs = 0
   #lastKnown?: { msPerPlace: number, atMs: number }
 
-  /** A request was placed. */
   recordPlacement (nowMs: number): void {
     this.#placed.record(nowMs)
   }
 
-  /** A request came for the first time. */
+  /** Records a first attempt; retries are not counted. */
   recordArrival (nowMs: number): void {
     this.#arrived.record(nowMs)
   }
 
-  /** Nothing waits: placements are as fast as requests come and say nothing of the engines. */
+  /** Records that the queue is empty: placements are then limited by arrivals, not by the engines. */
   recordIdle (nowMs: number): void {
     this.#idleUntilMs = nowMs
   }
 
-  /** Time from one free place to the next. At the start of a first queue nothing is known, and it is 0. */
+  /** Mean time between free slots. 0 if nothing is known yet, as at the start of a first queue. */
   msPerPlace (nowMs: number): number {
     const sinceMs = this.#waitingSinceMs(nowMs)
     const waitedMs = nowMs - sinceMs
@@ -43,19 +42,19 @@
     return msPerPlace
   }
 
-  /** Time from one new request to the next, or nothing when it is not known. */
+  /** Mean time between new requests; undefined if unknown. */
   msPerArrival (nowMs: number): number | undefined {
     const count = this.#arrived.countSince(nowMs - WINDOW_MS, nowMs)
     return count < MIN_SAMPLES ? undefined : WINDOW_MS / count
   }
 
-  /** Standard error of the time per place, as a part of it: the fewer were counted, the larger. */
+  /** Relative standard error of the time between free slots; it grows as fewer placements were counted. */
   error (nowMs: number): number {
     const count = this.#placed.countSince(this.#waitingSinceMs(nowMs), nowMs)
     return count < MIN_SAMPLES ? MAX_ERROR : Math.min(MAX_ERROR, 1 / Math.sqrt(count))
   }
 
-  /** What was known of the last queue, unless places come more slowly than that already. */
+  /** The rate of the last queue, unless slots already take longer to become free in this one. */
   #lastKnownMsPerPlace (minMs: number, nowMs: number): number {
     const known = this.#lastKnown && nowMs - this.#lastKnown.atMs <= LAST_RATE_LIFE_MS ? this.#lastKnown.msPerPlace : 0
     return Math.max(known, minMs)
--- a/scheduling/scheduler/src/quantileEstimator.ts
+++ b/scheduling/scheduler/src/quantileEstimator.ts
@@ -1,5 +1,5 @@
 export interface QuantileEstimatorOptions {
-  /** Part of the values that shall be below the estimate. */
+  /** Share of the samples that should be below the estimate. */
   quantile: number
   firstMs: number
   minMs: number
@@ -8,7 +8,7 @@
 
 const STEP_MS = 2
 
-/** Follows a quantile of a stream of durations with one number: up after values above it, down a little after those below. */
+/** Tracks a quantile of a stream of durations: a step up after each sample above the estimate, a step down after each below, weighted by the quantile. */
 export class QuantileEstimator {
   readonly #opts: QuantileEstimatorOptions
   #valueMs: number
--- a/scheduling/scheduler/src/queueForecast.ts
+++ b/scheduling/scheduler/src/queueForecast.ts
@@ -7,7 +7,7 @@
   chooser: PlacementChooser
 }
 
-/** How much prefill work waits at a scheduler, and how soon a request could have its first token. */
+/** Forecasts the queued prefill work of a scheduler and the earliest first token of a request. */
 export class QueueForecast {
   readonly #opts: QueueForecastOptions
 
@@ -15,7 +15,7 @@
     this.#opts = opts
   }
 
-  /** Least prefill work of all that wait. */
+  /** Total prefill work of all waiting requests, each at its cheapest engine. */
   queuedPrefillMs (waiting: readonly WaitingRequest[], nowMs: number): number {
     const { chooser } = this.#opts
     const engines = chooser.readyEngines(nowMs)
@@ -23,7 +23,7 @@
     return waiting.reduce((sum, one) => sum + Math.min(...engines.map((ready) => chooser.costMs(one, ready, nowMs))), 0)
   }
 
-  /** Least time to a first token; nothing when no engine takes work. */
+  /** Minimum time to the first token; undefined if no engine takes work. */
   minTtftMs (waiting: WaitingRequest, engines: readonly ReadyEngine[], nowMs: number): number | undefined {
     const { chooser, ledger } = this.#opts
     const { request: { avoid }, handoverMs } = waiting
@@ -33,7 +33,7 @@
       const endsMs = usable.map((ready) => Math.max(permitWaitMs, ready.freeAtMs - nowMs + chooser.costMs(waiting, ready, nowMs)))
       return Math.min(...endsMs) + handoverMs
     }
-    // A shard that was just taken over may have room as soon as its engines report.
+    // A shard that was just taken over may have capacity as soon as its engines report.
     return chooser.minOwnPrefillMs(waiting, nowMs) ?? (ledger.awaitsFirstReports ? handoverMs : undefined)
   }
 }
--- a/scheduling/scheduler/src/recentEvents.ts
+++ b/scheduling/scheduler/src/recentEvents.ts
@@ -1,4 +1,4 @@
-/** Times of the events of the last while. */
+/** Timestamps of events within a sliding window. */
 export class RecentEvents {
   readonly windowMs: number
   #atMs: number[] = []
@@ -12,7 +12,7 @@
     this.#atMs.push(nowMs)
   }
 
-  /** Events after a time, as far back as the window reaches. */
+  /** Number of events after a time, limited to the window. */
   countSince (sinceMs: number, nowMs: number): number {
     this.#expire(nowMs)
     return this.#atMs.filter((atMs) => atMs > sinceMs).length
--- a/scheduling/scheduler/src/refusalBuilder.ts
+++ b/scheduling/scheduler/src/refusalBuilder.ts
@@ -13,12 +13,12 @@
   retrySchedule: RetrySchedule
 }
 
-/** Part of the places that is kept for those who return: they are late, so most is left to those who can be in time. */
+/** Share of the slots reserved for retries. Retried requests are late, so the larger part is left to requests that can be in time. */
 const RETRY_CAPACITY_SHARE = 0.5
-/** Callers honour a time to return for a third of the time that they have left; the refusal takes some of it to reach them. */
+/** Callers honour a retry delay of up to a third of the time they have left; slightly less is used, because the refusal takes time to reach them. */
 const MAX_RETRY_DELAY_SHARE = 0.3
 
-/** Refuses requests, each with a time to return that is booked for it. */
+/** Builds refusals, each with a retry delay from the retry schedule. */
 export class RefusalBuilder {
   readonly #opts: RefusalBuilderOptions
 
@@ -26,7 +26,7 @@
     this.#opts = opts
   }
 
-  /** @param waitingCount requests that wait at the scheduler */
+  /** @param waitingCount number of requests waiting at the scheduler */
   refuse ({ request, firstArrivedAtMs }: Pick<WaitingRequest, 'request' | 'firstArrivedAtMs'>, reason: string, { waitingCount, nowMs }: { waitingCount: number, nowMs: number }): PlacementRefusal {
     const { chooser, estimator, rate, retrySchedule } = this.#opts
     const engines = chooser.readyEngines(nowMs)
--- a/scheduling/scheduler/src/retrySchedule.ts
+++ b/scheduling/scheduler/src/retrySchedule.ts
@@ -1,39 +1,39 @@
 export interface RetryScheduleOptions {
-  /** The shortest time to return. */
+  /** Lower bound of the retry delay. */
   minDelayMs: number
-  /** The longest time to return. */
+  /** Upper bound of the retry delay. */
   maxDelayMs: number
 }
 
-/** A request that is refused. */
+/** A request that is being refused. */
 export interface RefusedRequest {
   returnId: string
-  /** When its caller first tried. */
+  /** Time of the caller's first attempt. */
   firstArrivedAtMs: number
-  /** Until a place is expected behind all that wait now. */
+  /** Expected time until a slot is free after all requests that wait now. */
   expectedWaitMs: number
-  /** From its place to the next that can be promised. */
+  /** Time from its slot to the next one that can be promised. */
   intervalMs: number
-  /** The longest time to return that its caller honours. */
+  /** The longest retry delay that its caller honours. */
   maxHonouredDelayMs: number
 }
 
-/** What is remembered of a refused request. */
+/** A refused request that is expected to be retried. */
 export interface ScheduledRetry {
   firstArrivedAtMs: number
   dueAtMs: number
-  /** Capacity is kept for it. */
+  /** Whether a slot is reserved for the retry. */
   promised: boolean
 }
 
-/** A returning request may come this much early or late: the way to its box and a new connection, and callers that wait for the next full second. */
+/** Tolerance for early and late retries: network delay, the time for a new connection, and callers that round the delay up to full seconds. */
 const EARLY_TOLERANCE_MS = 50
 const LATE_TOLERANCE_MS = 1500
 
 /**
- * Gives refused requests times to return, one after the other in the order in
- * which they came, and keeps capacity for them. Who would have to wait longer
- * than its caller does gets no promise: it is told to come as late as it can.
+ * Assigns retry times to refused requests, one after another in order of arrival, and
+ * reserves capacity for them. If the retry time would be later than the caller honours,
+ * nothing is promised, and the caller gets the longest delay that it honours.
  */
 export class RetrySchedule {
   readonly #opts: RetryScheduleOptions
@@ -49,26 +49,26 @@
     return this.#retries.size
   }
 
-  /** Books the next free time. Answers with the delay after which to return. */
+  /** Assigns the next free retry time. Returns the delay until then. */
   schedule ({ returnId, firstArrivedAtMs, expectedWaitMs, intervalMs, maxHonouredDelayMs }: RefusedRequest, nowMs: number): number {
     const { minDelayMs, maxDelayMs } = this.#opts
-    const maxDelayUsedMs = Math.min(maxDelayMs, maxHonouredDelayMs)
-    const slotAtMs = Math.max(this.#reservedUntilMs, nowMs + Math.max(minDelayMs, Math.min(expectedWaitMs, maxDelayUsedMs)))
-    const promised = slotAtMs - nowMs <= maxDelayUsedMs
+    const longestDelayMs = Math.min(maxDelayMs, maxHonouredDelayMs)
+    const slotAtMs = Math.max(this.#reservedUntilMs, nowMs + Math.max(minDelayMs, Math.min(expectedWaitMs, longestDelayMs)))
+    const promised = slotAtMs - nowMs <= longestDelayMs
     if (promised) this.#reservedUntilMs = slotAtMs + intervalMs
-    const dueAtMs = promised ? slotAtMs : nowMs + maxDelayUsedMs
+    const dueAtMs = promised ? slotAtMs : nowMs + longestDelayMs
     this.#retries.set(returnId, { firstArrivedAtMs, dueAtMs, promised })
     this.#nextExpiryMs = Math.min(this.#nextExpiryMs, dueAtMs + LATE_TOLERANCE_MS)
     return dueAtMs - nowMs
   }
 
-  /** What was booked for a request that comes back when it was told to. */
+  /** Returns the scheduled retry of a request if it is retried at about the assigned time. */
   findDue (returnId: string, nowMs: number): ScheduledRetry | undefined {
     const retry = this.#retries.get(returnId)
     return retry && nowMs >= retry.dueAtMs - EARLY_TOLERANCE_MS && nowMs <= retry.dueAtMs + LATE_TOLERANCE_MS ? retry : undefined
   }
 
-  /** When requests are yet to come back for places that they were promised, sorted. */
+  /** Due times of outstanding retries with a promised slot, sorted. */
   promisesDueAtMs (nowMs: number): number[] {
     return [...this.#retries.values()]
       .filter(({ promised, dueAtMs }) => promised && dueAtMs > nowMs)
--- a/scheduling/scheduler/src/shardLoad.ts
+++ b/scheduling/scheduler/src/shardLoad.ts
@@ -1,27 +1,27 @@
 import { RecentEvents } from './recentEvents.js'
 
-/** What the requests of a shard take of its engines, and how fast they come. */
+/** Mean engine time per request of a shard, and the arrival rate. */
 export interface ObservedLoad {
-  /** Time of a prefill engine that a prompt takes. */
+  /** Prefill engine time per prompt. */
   prefillMs: number
-  /** Time of a decode engine that an answer takes: how long it lasts, times the part of the engine that it fills. */
+  /** Decode engine time per answer: its duration times the share of the engine that it occupies. */
   decodeMs: number
-  /** New requests a millisecond, at the busiest of the last while. */
+  /** New requests per millisecond: the recent peak, decaying over time. */
   arrivalsPerMs: number
 }
 
-/** Arrivals are counted over this time: some tens of them, and a burst shows within it. */
+/** Window for counting arrivals: long enough for tens of them, short enough to show a burst. */
 const WINDOW_MS = 3000
-/** Fewer requests than this say little about the next ones: their sizes differ by a half, their mean by a sixth. */
+/** Minimum number of requests for an estimate: sizes vary by about a half, so the mean of 10 varies by about a sixth. */
 const MIN_SAMPLES = 10
-/** A busy time is remembered about this long: bursts come some ten seconds apart. */
+/** Time constant of the peak rate's decay: bursts are about 10 s apart. */
 const PEAK_DECAY_MS = 30_000
-/** Weight of one request: some thirty are remembered, a few seconds of them. */
+/** Weight of one request: the mean covers about 30 requests, which arrive within a few seconds. */
 const EWMA_WEIGHT = 0.03
-/** Until this many answers have ended, what was expected of them counts as well: the first to end are the short ones. */
+/** Until this many answers have ended, expected durations are mixed in: the first answers to end are the short ones. */
 const MIN_COMPLETIONS = 60
 
-/** Learns what requests take of the engines of one shard. */
+/** Estimates the engine time per request and the arrival rate of one shard. */
 export class ShardLoad {
   readonly #arrived = new RecentEvents(WINDOW_MS)
   readonly #prefillMs = new WeightedMean()
@@ -31,7 +31,7 @@
   #peakPerMs = 0
   #peakAtMs = 0
 
-  /** A request came for the first time. */
+  /** Records a first attempt; retries are not counted. */
   recordArrival (nowMs: number): void {
     this.#arrived.record(nowMs)
     this.#firstAtMs = Math.min(this.#firstAtMs, nowMs)
@@ -42,18 +42,18 @@
     this.#peakAtMs = nowMs
   }
 
-  /** A request was placed. Its times are those that it would take of a prefill and of a decode engine, whoever computes the prompt. */
+  /** Records a placement with the prefill and decode engine time that it would take if a prefill engine computed the prompt. */
   recordPlacement (prefillMs: number, expectedDecodeMs: number): void {
     this.#prefillMs.observe(prefillMs)
     this.#expectedMs.observe(expectedDecodeMs)
   }
 
-  /** An answer is whole. */
+  /** Records the decode engine time of a finished request. */
   recordCompletion (decodeMs: number): void {
     this.#completedMs.observe(decodeMs)
   }
 
-  /** Nothing until enough requests were placed. */
+  /** Returns undefined until enough requests were placed. */
   observed (nowMs: number): ObservedLoad | undefined {
     if (this.#prefillMs.count < MIN_SAMPLES) return undefined
     const completedWeight = Math.min(1, this.#completedMs.count / MIN_COMPLETIONS)
@@ -69,7 +69,7 @@
   }
 }
 
-/** A mean in which late values weigh more. */
+/** A cumulative mean that turns into an EWMA after enough samples. */
 class WeightedMean {
   count = 0
   value = 0
--- a/scheduling/scheduler/src/shardScheduler.ts
+++ b/scheduling/scheduler/src/shardScheduler.ts
@@ -27,35 +27,35 @@
   route: () => RouteSpec | undefined
   index: PrefixIndex
   reportLifeMs: number
-  /** Requests a second that an engine takes; nothing where it names no limit. */
+  /** Requests per second that an engine accepts; undefined if it advertises no limit. */
   limitPerSecond?: (engine: string) => number | undefined
-  /** An owner did not reach an engine: it is time to look whether it lives. */
+  /** Called when an owner could not reach an engine, so that the engine is probed. */
   onUnreachable?: (engine: string) => void
-  /** An engine is left aside for a while, since owners say that it fails. */
+  /** Called when an engine is avoided for a while because owners reported failures. */
   onSuspected?: (engine: string, forMs: number, failureShare: number) => void
   onTrusted?: (engine: string) => void
-  /** It was decided whether a request that is not placed at once is kept waiting, or the decision changed. */
+  /** Called when the admission decision for a waiting request is made or changes. */
   onAdmission?: (requestId: string, inputs: AdmissionInputs, decision: AdmissionDecision) => void
-  /** Told of a task that a fault of the program ended. */
+  /** Called when a task ends with an unexpected error. */
   onTaskError?: TaskErrorListener
 }
 
 export type AdoptedReservation = MessageOf<MessageType.AdoptReservations>['reservations'][number]
 
-/** An owner that gets a plan must start its prefill within this time. */
+/** An owner must start the prefill within this time after it gets a plan. */
 const START_WITHIN_MS = 300
-/** A reservation outlives its request's deadline by this much. */
+/** A reservation expires this long after its request's deadline. */
 const RESERVATION_GRACE_MS = 1000
 const MAX_WAITING = 2000
-/** Waiting requests are looked at again at least this often. */
+/** Waiting requests are checked again at least this often. */
 const MAX_CYCLE_INTERVAL_MS = 10
-/** Part of the time in which it is of use that a promised request waits for a place that nobody in time needs. */
+/** Share of its useful time for which a retry with a promised slot waits for a slot that no request in time needs. */
 const PROMISE_DUE_SHARE = 0.25
-/** Engines report, and callers connect anew, within about this time: sooner, little has changed. */
+/** Engines report and callers reconnect within about this time, so little changes for a retry before it. */
 const MIN_RETRY_DELAY_MS = 500
 const MAX_RETRY_DELAY_MS = 30_000
 
-/** Places requests on one shard: holds them until an engine can begin at once, best use first, and refuses what would be late. */
+/** Places requests on one shard. Requests wait here until an engine can start them at once, in the order that uses the engines best; requests that would be late are refused. */
 export class ShardScheduler {
   readonly ledger: ShardLedger
   readonly #opts: ShardSchedulerOptions
@@ -89,7 +89,7 @@
     this.#tasks = new TaskGroup(opts.clock, opts.onTaskError)
   }
 
-  /** Nothing waits and nothing is reserved. */
+  /** Whether no request is waiting and nothing is reserved. */
   get idle (): boolean {
     return this.#waiting.size === 0 && this.ledger.reservationCount === 0
   }
@@ -106,16 +106,16 @@
   }
 
   async stop (): Promise<void> {
-    this.#waiting.all().forEach((waiting) => this.#answer(waiting, { outcome: PlacementOutcome.Refused, reason: 'the scheduler stops', retryAfterMs: 0 }))
+    this.#waiting.all().forEach((waiting) => this.#answer(waiting, { outcome: PlacementOutcome.Refused, reason: 'the scheduler is stopping', retryAfterMs: 0 }))
     await this.#tasks.stop()
   }
 
-  /** Waits until the request can be placed, or until it is clear that this will be too late. */
+  /** Resolves when the request is placed, or as soon as it is known that it would be placed too late. */
   reserve (request: ReserveRequest): Promise<PlacementAnswer> {
     const nowMs = this.#opts.clock.nowMs()
     const retry = this.#retrySchedule.findDue(request.returnId, nowMs)
     const firstArrivedAtMs = retry?.firstArrivedAtMs ?? nowMs
-    if (this.#waiting.size >= MAX_WAITING) return Promise.resolve(this.#refusal({ request, firstArrivedAtMs }, 'too many requests wait'))
+    if (this.#waiting.size >= MAX_WAITING) return Promise.resolve(this.#refusal({ request, firstArrivedAtMs }, 'too many requests are waiting'))
     if (!retry) this.#recordArrival(nowMs)
     if (this.#waiting.size === 0) this.#rate.recordIdle(nowMs)
     const leftMs = request.ttftLeftMs - this.#observations.ttftErrorMs
@@ -136,7 +136,7 @@
     })
   }
 
-  /** The request is over, or its caller has gone. */
+  /** Called when a request has ended or its caller has disconnected. */
   release (label: HoldLabel, report?: PlacementReport, outcomes: readonly EngineOutcome[] = []): void {
     this.#waiting.withdraw(label)
     outcomes.forEach(({ engine, outcome }) => this.#recordOutcome(engine, outcome))
@@ -145,13 +145,13 @@
     this.#runCycle()
   }
 
-  /** A prefill has ended, as its owner says. */
+  /** Called when the owner reports the end of a prefill. */
   prefilled (label: HoldLabel): void {
     this.ledger.recordPrefillEnd(label, this.#opts.clock.nowMs())
     this.#runCycle()
   }
 
-  /** Takes in reservations that another scheduler made. */
+  /** Adds reservations that were made by the shard's previous scheduler. */
   adopt (reservations: readonly AdoptedReservation[]): void {
     const nowMs = this.#opts.clock.nowMs()
     reservations
@@ -197,12 +197,12 @@
     this.#invalidateCosts(engine)
   }
 
-  /** What requests take of the engines; nothing until enough were seen. */
+  /** The estimated load of the shard; undefined until enough requests were observed. */
   observedLoad (): ShardLoadEstimate | undefined {
     return this.#observations.observedLoad(this.#opts.clock.nowMs())
   }
 
-  /** State for the dump. */
+  /** Describes the scheduler for the state dump. */
   describe () {
     const nowMs = this.#opts.clock.nowMs()
     return {
@@ -217,7 +217,7 @@
     }
   }
 
-  /** Owners see few answers of each engine; here they come together. */
+  /** Combines the outcomes of all owners, since each owner sees few answers of an engine. */
   #recordOutcome (engine: string, outcome: UpstreamOutcome): void {
     const pool = this.ledger.poolOf(engine)
     if (pool.length === 0) return
@@ -230,7 +230,7 @@
     this.#observations.recordArrival(nowMs)
   }
 
-  /** Places and refuses whatever can be decided now, then sleeps until the next moment that could change that. */
+  /** Places and refuses all requests that can be decided now, then schedules the next cycle. */
   #runCycle (): void {
     const nowMs = this.#opts.clock.nowMs()
     this.ledger.expire(nowMs)
@@ -244,7 +244,7 @@
     this.#scheduleNextCycle(nowMs)
   }
 
-  /** Decides anew of each request that waits whether it is kept. */
+  /** Decides again for each waiting request whether it is kept. */
   #decideWaiting (nowMs: number): void {
     if (this.#waiting.size === 0) return
     const engines = this.#chooser.readyEngines(nowMs)
@@ -299,7 +299,7 @@
     this.#answer(waiting, planOf(estimate, nowMs))
   }
 
-  /** What an engine has cached has changed. */
+  /** Drops cached prefill durations for an engine whose cached prefixes changed. */
   #invalidateCosts (engine: string): void {
     const poolIndex = this.ledger.prefillEngines().findIndex(({ name }) => name === engine)
     this.#waiting.all().forEach(({ prefillCostsMs }) => { prefillCostsMs[poolIndex] = undefined })
--- a/scheduling/scheduler/src/slotLimit.ts
+++ b/scheduling/scheduler/src/slotLimit.ts
@@ -1,14 +1,14 @@
 /**
- * A request whose median time between tokens comes this near to the target is a
- * sign of too many beside it. The 95th percentile is not used: stalls that have
- * nothing to do with the batch would drive the limit down to nothing.
+ * A request whose median time between tokens exceeds this share of the target indicates
+ * too large a batch. The 95th percentile is not used: stalls unrelated to the batch
+ * would push the limit down to its minimum.
  */
 const NEAR_TARGET_SHARE = 0.95
 const STEP_DOWN = 0.2
 const STEP_UP = 0.02
 const MIN_SLOTS = 4
 
-/** Places of a decode engine that keep the time between tokens within its target, as measured: fast down, slowly up. */
+/** Adapts the number of usable slots per decode engine to the time between tokens: decreases fast, increases slowly. */
 export class SlotLimit {
   readonly #declared: number
   #limit: number
--- a/scheduling/scheduler/src/waitingQueue.ts
+++ b/scheduling/scheduler/src/waitingQueue.ts
@@ -1,29 +1,29 @@
 import { type HoldLabel, holdLabelKey, type PlacementAnswer, PlacementOutcome, type ReserveRequest } from '@reelspan/core.messages'
 import { type AdmissionOutcome } from './decideAdmission.js'
 
-/** A request that waits for its placement. */
+/** A request waiting to be placed. */
 export interface WaitingRequest {
   request: ReserveRequest
   resolve: (answer: PlacementAnswer) => void
-  /** When its caller first tried: before now, if it was refused and has come back when told to. */
+  /** Time of the first attempt, which is earlier if this is a retry at the assigned time. */
   firstArrivedAtMs: number
-  /** A first token after this is late. */
+  /** The first token is in time until then, and late afterwards. */
   inTimeUntilMs: number
-  /** A first token after this is of no use. */
+  /** The first token is useful until then. */
   usefulUntilMs: number
-  /** The least time from the end of its prefill to its first token. */
+  /** Minimum time from the end of its prefill to its first token. */
   handoverMs: number
-  /** Prefill times by the engine's place in the shard, as far as they were needed. */
+  /** Prefill durations by the engine's index in the prefill pool, computed on demand. */
   prefillCostsMs: (number | undefined)[]
-  /** It was refused before and came back when it was told to. */
+  /** Whether this is a retry at the assigned time. */
   returned: boolean
-  /** It has come back for a place that it was promised: from then on it goes before those that can be in time. */
+  /** Set for a retry with a promised slot: from this time on it precedes requests that can be in time. */
   promiseDueAtMs?: number
-  /** What was last decided of it. */
+  /** The last admission decision. */
   outcome?: AdmissionOutcome
 }
 
-/** The requests that wait at a scheduler, in order of arrival. */
+/** The waiting requests of a scheduler, in order of arrival. */
 export class WaitingQueue {
   readonly #waiting = new Map<string, WaitingRequest>()
 
@@ -44,7 +44,7 @@
     this.#waiting.delete(holdLabelKey(waiting.request.label))
   }
 
-  /** Its owner no longer wants it placed. */
+  /** Removes a request whose owner no longer needs it placed. */
   withdraw (label: HoldLabel): void {
     const waiting = this.#waiting.get(holdLabelKey(label))
     if (!waiting) return
--- a/scheduling/scheduler/test/__utils__/createShard.ts
+++ b/scheduling/scheduler/test/__utils__/createShard.ts
@@ -12,12 +12,12 @@
   prefill?: number
   decode?: number
   slots?: number
-  /** Availability zones that engines of each role are in, in turn. */
+  /** Availability zones that are assigned in turn to the engines of each role. */
   zones?: readonly string[]
-  /** Whether its engines have reported. */
+  /** Whether the engines have reported. */
   reported?: boolean
   route?: Partial<RouteSpec>
-  /** How fast decode engines compute prompts themselves; they cannot without it. */
+  /** Prefill speed of decode engines; undefined if they cannot prefill. */
   decodePrefillTokensPerSecond?: number
   limitPerSecond?: ShardSchedulerOptions['limitPerSecond']
   onUnreachable?: (engine: string) => void
@@ -25,7 +25,7 @@
   onTaskError?: ShardSchedulerOptions['onTaskError']
 }
 
-/** A scheduler of a small shard whose engines have reported. 1,000 uncached tokens take 130 ms. */
+/** Creates a scheduler of a small shard whose engines have reported. Prefill of 1,000 uncached tokens takes 130 ms. */
 export function createShard ({ prefill = 2, decode = 2, slots = 20, zones = ['z'], reported = true, route, decodePrefillTokensPerSecond, limitPerSecond, onUnreachable, onAdmission, onTaskError }: TestShardOptions = {}) {
   const clock = new VirtualClock()
   const derived = shardOf({ prefill, decode, slots, zones })
--- a/scheduling/scheduler/test/__utils__/playRequests.ts
+++ b/scheduling/scheduler/test/__utils__/playRequests.ts
@@ -10,24 +10,24 @@
   durationMs: number
   /** Time from a request's placement to its first token. */
   firstTokenMs: (plan: PlacementPlan, request: ReserveRequest) => number
-  /** Time from there to its last. */
+  /** Time from the first token to the last. */
   streamMs: (plan: PlacementPlan) => number
   seed?: number
   request?: Partial<ReserveRequest>
 }
 
-/** What callers got. */
+/** Results as seen by callers. */
 export interface PlayedOutcome {
   requests: number
   inTime: number
   refused: number
   /** Requests whose decode engine computed the prompt. */
   ownPrefills: number
-  /** Time that requests waited which were refused in the end. */
+  /** Total time that requests waited before they were refused. */
   wastedWaitMs: number
 }
 
-/** Plays requests with exponential times between arrivals, and what their owners tell the scheduler of them. */
+/** Plays requests with exponential interarrival times, and the calls that their owners make to the scheduler. */
 export async function playRequests ({ clock, scheduler, requestsPerSecond, durationMs, firstTokenMs, streamMs, seed = 1, request = {} }: PlayedLoad): Promise<PlayedOutcome> {
   const random = new SeededRandom(seed)
   const outcome: PlayedOutcome = { requests: 0, inTime: 0, refused: 0, ownPrefills: 0, wastedWaitMs: 0 }
--- a/scheduling/scheduler/test/decideAdmission.ts
+++ b/scheduling/scheduler/test/decideAdmission.ts
@@ -2,9 +2,9 @@
 import test from 'ava'
 import fc from 'fast-check'
 
-/** Nobody waits, and the engines are free. */
+/** An empty queue and free engines. */
 const EMPTY: AdmissionInputs = { minTtftMs: 200, aheadInTime: 0, aheadLate: 0, aheadDue: 0, msPerPlace: 0, msPerArrival: undefined, rateError: 0.2, handoverMs: 100, inTimeLeftMs: 900, usefulLeftMs: 2700, returned: false, promised: false, kept: false }
-/** A place becomes free every 100 ms, and a quarter as many new requests come. */
+/** A slot becomes free every 100 ms, and new requests arrive at a quarter of that rate. */
 const BUSY: AdmissionInputs = { ...EMPTY, msPerPlace: 100, msPerArrival: 400 }
 
 function outcomeOf (over: Partial<AdmissionInputs>): AdmissionOutcome {
@@ -16,43 +16,43 @@
   t.is(outcomeOf({ aheadInTime: 7, aheadLate: 50 }), AdmissionOutcome.InTime)
 })
 
-test('a request that can only be late is kept while a place for it is in sight', (t) => {
+test('a request that can only be late is kept while a slot is expected for it', (t) => {
   t.is(outcomeOf({ aheadInTime: 8 }), AdmissionOutcome.Late)
   t.is(outcomeOf({ aheadInTime: 8, aheadLate: 10 }), AdmissionOutcome.Refused)
 })
 
-test('those who will come back for a promised place count as before it', (t) => {
+test('outstanding retries with a promised slot count as ahead of a request', (t) => {
   t.is(outcomeOf({ aheadInTime: 4, aheadDue: 3 }), AdmissionOutcome.InTime)
   t.is(outcomeOf({ aheadInTime: 4, aheadDue: 4 }), AdmissionOutcome.Late)
 })
 
-test('nothing is kept behind newcomers that take every place', (t) => {
+test('a late request is refused if new requests take every slot', (t) => {
   t.is(outcomeOf({ aheadInTime: 8, msPerArrival: 100 }), AdmissionOutcome.Refused)
 })
 
-test('the error of the estimate counts against a newcomer, and for a request that has waited or come back', (t) => {
+test('the error of the estimate counts against a new request, and in favour of one that has waited or is a retry', (t) => {
   const close = { aheadInTime: 8, aheadLate: 5 }
   t.is(outcomeOf(close), AdmissionOutcome.Refused)
   t.is(outcomeOf({ ...close, kept: true }), AdmissionOutcome.Late)
   t.is(outcomeOf({ ...close, returned: true }), AdmissionOutcome.Late)
 })
 
-test('a promise is kept as long as the answer is of use', (t) => {
+test('a promised slot is kept as long as the answer is useful', (t) => {
   t.is(outcomeOf({ promised: true, aheadInTime: 30 }), AdmissionOutcome.Late)
   t.is(outcomeOf({ promised: true, minTtftMs: 2800 }), AdmissionOutcome.Refused)
 })
 
-test('without an engine nothing is kept', (t) => {
+test('a request is refused if no engine takes work', (t) => {
   t.like(decideAdmission({ ...EMPTY, minTtftMs: undefined }), { outcome: AdmissionOutcome.Refused, reason: 'no engine of the model takes work' })
 })
 
-test('the reason of a refusal has its numbers', (t) => {
-  t.is(decideAdmission({ ...BUSY, aheadInTime: 8, msPerArrival: 91 }).reason, '8 requests wait before it, a place becomes free every 100 ms, and a request comes every 91 ms')
+test('the reason of a refusal contains its inputs', (t) => {
+  t.is(decideAdmission({ ...BUSY, aheadInTime: 8, msPerArrival: 91 }).reason, '8 requests are queued ahead, a slot becomes free every 100 ms, and a request arrives every 91 ms')
 })
 
 const ORDER = [AdmissionOutcome.InTime, AdmissionOutcome.Late, AdmissionOutcome.Refused]
 
-test('more requests before it, slower places or less time never make a decision better', (t) => {
+test('more requests ahead, slower slots or less time never improve a decision', (t) => {
   const inputs = fc.record({
     minTtftMs: fc.integer({ min: 1, max: 4000 }),
     aheadInTime: fc.nat(60),
--- a/scheduling/scheduler/test/decideQueue.ts
+++ b/scheduling/scheduler/test/decideQueue.ts
@@ -2,7 +2,7 @@
 import test from 'ava'
 import { requestOf } from './__utils__/createShard.js'
 
-/** A place becomes free every 100 ms, and a quarter as many new requests come. */
+/** A slot becomes free every 100 ms, and new requests arrive at a quarter of that rate. */
 const FACTS: QueueInputs = { nowMs: 10_000, msPerPlace: 100, msPerArrival: 400, rateError: 0.2, minTtftMs: () => 200, isOverShare: () => false, promisesDueAtMs: [] }
 
 function waitingSince (ms: number, over: Partial<WaitingRequest> = {}, request = {}): WaitingRequest {
@@ -15,18 +15,18 @@
   return waiting.map((one) => decisions.find((decided) => decided.waiting === one)?.decision.outcome as AdmissionOutcome)
 }
 
-test('a request that can be in time does not count those that are late as before it', (t) => {
+test('late requests do not count as ahead of one that can be in time', (t) => {
   const late = Array.from({ length: 9 }, () => waitingSince(1000, { outcome: AdmissionOutcome.Late }))
   t.is(outcomesOf([...late, waitingSince(0)])[9], AdmissionOutcome.InTime)
 })
 
-test('a request counts those of higher priority as before it, and none of lower priority', (t) => {
+test('requests of higher priority count as ahead, those of lower priority do not', (t) => {
   const ofPriority = (priority: number) => Array.from({ length: 9 }, () => waitingSince(0, {}, { priority }))
   t.is(outcomesOf([...ofPriority(1), waitingSince(0, {}, { priority: 2 })])[9], AdmissionOutcome.InTime)
   t.is(outcomesOf([...ofPriority(3), waitingSince(0, {}, { priority: 2 })])[9], AdmissionOutcome.Late)
 })
 
-test('a request counts those with a promise as before it, also those that are yet to come back', (t) => {
+test('retries with a promised slot count as ahead, also before they arrive', (t) => {
   const promised = waitingSince(0, { returned: true, promiseDueAtMs: FACTS.nowMs, inTimeUntilMs: FACTS.nowMs - 3000 })
   const others = Array.from({ length: 7 }, () => waitingSince(0))
   t.is(outcomesOf([...others, waitingSince(0)])[7], AdmissionOutcome.InTime)
@@ -34,7 +34,7 @@
   t.is(outcomesOf([...others, waitingSince(0)], { promisesDueAtMs: [FACTS.nowMs + 500, FACTS.nowMs + 5000] })[7], AdmissionOutcome.Late)
 })
 
-test('clients over their share count as behind the others', (t) => {
+test('requests of clients over their share count as behind the others', (t) => {
   const flood = Array.from({ length: 9 }, () => waitingSince(0, {}, { client: 'flood' }))
   t.is(outcomesOf([...flood, waitingSince(0)], { isOverShare: (client) => client === 'flood' })[9], AdmissionOutcome.InTime)
   t.is(outcomesOf([...flood, waitingSince(0)])[9], AdmissionOutcome.Late)
--- a/scheduling/scheduler/test/engineLimits.ts
+++ b/scheduling/scheduler/test/engineLimits.ts
@@ -1,5 +1,5 @@
-// A scheduler that does not know of limits chooses engines at their limits, since these look idle: owners get no
-// permit there and have to ask again.
+// Guards against choosing engines at their rate limit: they look idle to a scheduler that ignores limits, and owners
+// get no permit for them and have to place the request again.
 import { type PlacementAnswer, PlacementOutcome } from '@reelspan/core.messages'
 import test from 'ava'
 import { createShard, requestOf, type TestShardOptions } from './__utils__/createShard.js'
@@ -7,7 +7,7 @@
 const EVERY_MS = 50
 const SECONDS = 10
 
-/** Short requests, one each 50 ms, each over as soon as it is placed. */
+/** Sends a short request every 50 ms; each is released as soon as it is placed. */
 async function placements (opts: TestShardOptions, limits: { ttftLeftMs: number }): Promise<PlacementAnswer[]> {
   const { clock, scheduler } = createShard({ prefill: 3, decode: 3, ...opts })
   const answers: Promise<PlacementAnswer>[] = []
@@ -27,7 +27,7 @@
 }
 
 for (const engine of ['p-1', 'd-1']) {
-  test(`${engine} gets no more than it takes, and the others the rest`, async (t) => {
+  test(`${engine} gets no more requests than its limit, and the others get the rest`, async (t) => {
     const answers = await placements({ limitPerSecond: (name) => name === engine ? 2 : undefined }, { ttftLeftMs: 390 })
     const got = countOf(answers, engine)
     t.true(got >= 0.5 * 2 * SECONDS && got <= 2 * SECONDS + 2, `${got}`)
@@ -35,13 +35,13 @@
   })
 }
 
-test('what engines take together is placed, and the rest refused at once where no permit comes in time', async (t) => {
+test('as many requests as the limits allow are placed, and the rest is refused if no permit is free in time', async (t) => {
   const answers = await placements({ limitPerSecond: (name) => name.startsWith('d') ? 2 : undefined }, { ttftLeftMs: 390 })
   const placed = answers.filter(({ outcome }) => outcome === PlacementOutcome.Placed).length
   t.true(placed >= 0.9 * 6 * SECONDS && placed <= 6 * SECONDS + 6, `${placed}`)
 })
 
-test('a request that can have no permit in time is refused at once', async (t) => {
+test('a request is refused at once if no permit is free in time', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 2, decode: 2, limitPerSecond: () => 0.2 })
   const startedAtMs = clock.nowMs()
   const answer = await clock.run(scheduler.reserve(requestOf({ promptTokens: 100 })))
--- a/scheduling/scheduler/test/ownPrefill.ts
+++ b/scheduling/scheduler/test/ownPrefill.ts
@@ -4,7 +4,7 @@
 import { createShard, reportOf, requestOf } from './__utils__/createShard.js'
 import { playRequests } from './__utils__/playRequests.js'
 
-/** Half the pace of the prefill engines: 1,000 tokens take 255 ms, against 130 ms and the way. */
+/** Half the speed of the prefill engines: 1,000 tokens take 255 ms, against 130 ms plus the transfer. */
 const HALF_PACE = 4000
 const TARGET = { ttftLeftMs: 900, tbtTargetMs: 300, patienceMs: 2700, allowsOwnPrefill: true }
 
@@ -12,7 +12,7 @@
   return answer.outcome === PlacementOutcome.Placed && answer.prefillEngine === answer.decodeEngine
 }
 
-/** A load that the shard's prefill engines cannot read alone; its decode engines are half empty. */
+/** A load beyond the capacity of the shard's prefill engine, while its decode engines are half empty. */
 async function playPrefillBound (decodePrefillTokensPerSecond?: number) {
   const { clock, scheduler } = createShard({ prefill: 1, decode: 4, slots: 20, decodePrefillTokensPerSecond })
   let prefillUntilMs = 0
@@ -32,20 +32,20 @@
   return outcome
 }
 
-test('while prefill engines are free, decode engines compute no prompts', async (t) => {
+test('decode engines compute no prompts while prefill engines are free', async (t) => {
   const { clock, scheduler } = createShard({ decodePrefillTokensPerSecond: HALF_PACE })
   const answers = await clock.run(Promise.all([scheduler.reserve(requestOf(TARGET)), scheduler.reserve(requestOf(TARGET))]))
   t.deepEqual(answers.map(isOwn), [false, false])
 })
 
-test('a prompt that would wait longer for the prefill engines than a decode engine takes is computed by that', async (t) => {
+test('a decode engine computes a prompt if the prefill engines would take longer, including the wait for them', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 1, decode: 2, decodePrefillTokensPerSecond: HALF_PACE })
   const answers = await clock.run(Promise.all(Array.from({ length: 5 }, () => scheduler.reserve(requestOf(TARGET)))))
   t.true(answers.some(isOwn))
   t.true(answers.some((answer) => !isOwn(answer)))
 })
 
-test('without prefill engines, decode engines compute the prompts', async (t) => {
+test('decode engines compute the prompts if there are no prefill engines', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 0, decode: 2, decodePrefillTokensPerSecond: HALF_PACE })
   const answers = await clock.run(Promise.all([scheduler.reserve(requestOf(TARGET)), scheduler.reserve(requestOf(TARGET))]))
   t.deepEqual(answers.map(isOwn), [true, true])
@@ -53,7 +53,7 @@
   t.is(new Set(engines).size, 2, 'each computes one at a time')
 })
 
-test('a decode engine without room computes no prompts', async (t) => {
+test('a decode engine without a free slot computes no prompts', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 0, decode: 1, slots: 1, decodePrefillTokensPerSecond: HALF_PACE })
   const first = requestOf(TARGET)
   t.true(isOwn(await clock.run(scheduler.reserve(first))))
@@ -63,34 +63,34 @@
   t.true(isOwn(await clock.run(second)))
 })
 
-test('engines that compute no prompts are asked for none', async (t) => {
+test('decode engines without prefill support are not chosen for prefills', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 0, decode: 2 })
   t.like(await clock.run(scheduler.reserve(requestOf(TARGET))), { outcome: PlacementOutcome.Refused, reason: 'no engine of the model takes work' })
 })
 
-test('a request whose owner needs a prefill engine is not given to a decode engine alone', async (t) => {
+test('a request that does not allow own prefill is not placed on a decode engine only', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 0, decode: 2, decodePrefillTokensPerSecond: HALF_PACE })
   t.like(await clock.run(scheduler.reserve(requestOf({ ...TARGET, allowsOwnPrefill: undefined }))), { outcome: PlacementOutcome.Refused, reason: 'no engine of the model takes work' })
 })
 
-test('an engine that reports another role than the list gives it takes no work', async (t) => {
+test('an engine whose reported role differs from the fleet list gets no work', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 2, decode: 2 })
   scheduler.noteReport('p-1', reportOf(EngineRole.Decode))
   const answers = await clock.run(Promise.all([scheduler.reserve(requestOf(TARGET)), scheduler.reserve(requestOf(TARGET))]))
   t.deepEqual(answers.map((answer) => answer.outcome === PlacementOutcome.Placed && answer.prefillEngine), ['p-2', 'p-2'])
 })
 
-test('a load that prefill engines cannot read alone is served in time by decode engines that have room', async (t) => {
+test('a load beyond the capacity of the prefill engines is served in time with the help of decode engines', async (t) => {
   const before = await playPrefillBound()
   const after = await playPrefillBound(HALF_PACE)
-  t.log(`in time of ${before.requests}: ${before.inTime} without own prefills, ${after.inTime} with; refused ${before.refused}, ${after.refused}; own ${after.ownPrefills}; waited in vain ${Math.round(before.wastedWaitMs)} ms, ${Math.round(after.wastedWaitMs)} ms`)
+  t.log(`in time of ${before.requests}: ${before.inTime} without own prefills, ${after.inTime} with; refused ${before.refused}, ${after.refused}; own ${after.ownPrefills}; wasted wait ${Math.round(before.wastedWaitMs)} ms, ${Math.round(after.wastedWaitMs)} ms`)
   t.is(before.ownPrefills, 0)
   t.true(after.inTime >= 0.95 * after.requests, `${after.inTime} of ${after.requests}`)
   t.true(before.inTime < 0.7 * before.requests, `${before.inTime} of ${before.requests}`)
   t.true(after.ownPrefills < 0.6 * after.requests, 'prefill engines are still used first')
 })
 
-test('of those that wait, the most urgent one is computed by a decode engine first', async (t) => {
+test('a decode engine computes the waiting prompt with the highest priority first', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 0, decode: 1, slots: 1, decodePrefillTokensPerSecond: HALF_PACE })
   const first = requestOf(TARGET)
   t.true(isOwn(await clock.run(scheduler.reserve(first))))
--- a/scheduling/scheduler/test/restartedEngines.ts
+++ b/scheduling/scheduler/test/restartedEngines.ts
@@ -4,13 +4,13 @@
 import test from 'ava'
 import { createShard, reportOf, requestOf, sharedPrefix } from './__utils__/createShard.js'
 
-/** The shard after its first prefill engine started again under its id. */
+/** The shard after its first prefill engine was restarted as the same instance. */
 function withRestarted (shard: Shard): Shard {
   const [first, ...others] = shard.prefillEngines
   return { ...shard, prefillEngines: [{ ...first, name: `${first.name}@200`, instance: first.name, startedAtMs: 200 }, ...others] }
 }
 
-test('prefixes that an engine held are forgotten when it starts again', async (t) => {
+test('the prefixes cached by an engine are dropped when it is restarted', async (t) => {
   const { clock, scheduler, shard } = createShard({ prefill: 1 })
   await clock.run(scheduler.reserve(requestOf({ prefixes: sharedPrefix('guide') })))
   t.is(scheduler.describe().prefixEntries, 1)
@@ -18,7 +18,7 @@
   t.is(scheduler.describe().prefixEntries, 0)
 })
 
-test('an engine that failed is not suspected any more when it has started again', (t) => {
+test('a suspected engine is no longer suspected after a restart', (t) => {
   const { scheduler, shard } = createShard()
   const failing = { engine: 'p-1', outcome: UpstreamOutcome.Failed }
   for (let i = 0; i < 4; i++) scheduler.release(requestOf().label, undefined, [failing])
@@ -26,10 +26,10 @@
   scheduler.update(withRestarted(shard))
   t.deepEqual(scheduler.describe().suspects, [])
   scheduler.release(requestOf().label, undefined, [failing])
-  t.deepEqual(scheduler.describe().suspects, [], 'what is told late of the start before is passed over')
+  t.deepEqual(scheduler.describe().suspects, [], 'late outcomes of the previous process are ignored')
 })
 
-test('an engine that started again gets work once it has reported, and none before', async (t) => {
+test('a restarted engine gets work only after it has reported', async (t) => {
   const { clock, scheduler, shard } = createShard({ prefill: 1 })
   scheduler.update(withRestarted(shard))
   const waiting = scheduler.reserve(requestOf())
--- a/scheduling/scheduler/test/retrySchedule.ts
+++ b/scheduling/scheduler/test/retrySchedule.ts
@@ -7,13 +7,13 @@
   return new RetrySchedule({ minDelayMs: 500, maxDelayMs: 30_000 })
 }
 
-test('who is refused is told to return when a place is expected, one after the other in the order of refusal', (t) => {
+test('refused requests get retry times at which a slot is expected, one after another in order of refusal', (t) => {
   const schedule = createSchedule()
   const delaysMs = ['a', 'b', 'c'].map((returnId) => schedule.schedule({ ...REFUSED, returnId }, 1000))
   t.deepEqual(delaysMs, [800, 1000, 1200])
 })
 
-test('no promise is given for a time that the caller does not wait for', (t) => {
+test('no slot is promised for a time beyond the delay that the caller honours', (t) => {
   const schedule = createSchedule()
   const delaysMs = ['a', 'b'].map((returnId) => schedule.schedule({ ...REFUSED, returnId, maxHonouredDelayMs: 900 }, 1000))
   t.deepEqual(delaysMs, [800, 900])
@@ -22,13 +22,13 @@
   t.deepEqual(schedule.promisesDueAtMs(1000), [1800])
 })
 
-test('a refusal without a promise takes nothing from those that follow', (t) => {
+test('a refusal without a promised slot does not delay later ones', (t) => {
   const schedule = createSchedule()
   schedule.schedule({ ...REFUSED, returnId: 'a', maxHonouredDelayMs: 100 }, 1000)
   t.is(schedule.schedule({ ...REFUSED, returnId: 'b' }, 1000), 800)
 })
 
-test('a request that comes back is known by its first arrival, when it comes about when it was told to', (t) => {
+test('a retry at about the assigned time keeps its first arrival time', (t) => {
   const schedule = createSchedule()
   schedule.schedule({ ...REFUSED, returnId: 'a' }, 1000)
   t.is(schedule.findDue('a', 1500), undefined)
@@ -36,7 +36,7 @@
   t.is(schedule.findDue('a', 3301), undefined)
 })
 
-test('who does not come back is forgotten', (t) => {
+test('retries that do not arrive expire', (t) => {
   const schedule = createSchedule()
   schedule.schedule({ ...REFUSED, returnId: 'a' }, 1000)
   schedule.schedule({ ...REFUSED, returnId: 'b', maxHonouredDelayMs: 100 }, 1000)
--- a/scheduling/scheduler/test/shardScheduler.ts
+++ b/scheduling/scheduler/test/shardScheduler.ts
@@ -15,7 +15,7 @@
   return answers.filter(({ outcome }) => outcome === PlacementOutcome.Placed).length
 }
 
-test('what cannot be in time is refused at once, with a time to return', async (t) => {
+test('a request that cannot be in time is refused at once, with a retry delay', async (t) => {
   const { clock, scheduler } = createShard()
   const startedAtMs = clock.nowMs()
   const answer = await clock.run(scheduler.reserve(requestOf({ promptTokens: 10_000 })))
@@ -24,7 +24,7 @@
   t.is(clock.nowMs(), startedAtMs)
 })
 
-test('a burst is admitted as far as it can be in time, and the rest is refused while it is still of use', async (t) => {
+test('requests of a burst are placed if they can be in time, and the rest is refused before it is late', async (t) => {
   const { clock, scheduler } = createShard()
   const startedAtMs = clock.nowMs()
   const answers = await clock.run(Promise.all(Array.from({ length: 30 }, () => scheduler.reserve(requestOf()))))
@@ -32,7 +32,7 @@
   t.true(clock.nowMs() - startedAtMs <= 390)
 })
 
-test('a decode engine that fails more than the others gets work only when they are full', async (t) => {
+test('a suspected decode engine gets work only when the others are full', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 4, decode: 2, slots: 3 })
   const failing = { engine: 'd-1', outcome: UpstreamOutcome.Failed }
   const answering = { engine: 'd-2', outcome: UpstreamOutcome.Answered }
@@ -41,7 +41,7 @@
   t.deepEqual(answers.map((answer) => answer.outcome === PlacementOutcome.Placed && answer.decodeEngine), ['d-2', 'd-2', 'd-2', 'd-1'])
 })
 
-test('a prefill engine that fails more than the others is used when they are busy', async (t) => {
+test('a suspected prefill engine is used when the others are busy', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 2, decode: 2 })
   const failing = { engine: 'p-1', outcome: UpstreamOutcome.Failed }
   for (let i = 0; i < 4; i++) scheduler.release(requestOf().label, undefined, [failing])
@@ -50,14 +50,14 @@
   t.true(placedCount(answers) === 3)
 })
 
-test('an engine that an owner did not reach is to be looked at', (t) => {
+test('an engine that an owner could not reach is reported as unreachable', (t) => {
   const unreachable: string[] = []
   const { scheduler } = createShard({ onUnreachable: (engine) => unreachable.push(engine) })
   scheduler.release(requestOf().label, undefined, [{ engine: 'p-1', outcome: UpstreamOutcome.Unreachable }, { engine: 'd-1', outcome: UpstreamOutcome.Answered }, { engine: 'unknown', outcome: UpstreamOutcome.Unreachable }])
   t.deepEqual(unreachable, ['p-1'])
 })
 
-test('a fault of the program while requests wait is told of', async (t) => {
+test('an unexpected error while requests wait is passed to onTaskError', async (t) => {
   const errors: unknown[] = []
   const fault = new TypeError('x is not a function')
   let faulty = false
@@ -76,13 +76,13 @@
   t.is(errors[0], fault)
 })
 
-test('no prefill starts without a decode place', async (t) => {
+test('no prefill starts without a decode slot', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 4, decode: 1, slots: 2 })
   const answers = await clock.run(Promise.all(Array.from({ length: 6 }, () => scheduler.reserve(requestOf()))))
   t.is(placedCount(answers), 2)
 })
 
-test('a place that is given back serves the next one that waits', async (t) => {
+test('a released slot is given to the next waiting request', async (t) => {
   const { clock, scheduler } = createShard({ decode: 1, slots: 1 })
   const first = requestOf()
   t.is((await clock.run(scheduler.reserve(first))).outcome, PlacementOutcome.Placed)
@@ -92,17 +92,17 @@
   t.is((await clock.run(second)).outcome, PlacementOutcome.Placed)
 })
 
-test('memory counts as well as places', async (t) => {
+test('decode engines are limited by memory as well as by slots', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 4, decode: 1 })
   const big = { maxTokens: 19_000 }
   const answers = await clock.run(Promise.all([scheduler.reserve(requestOf(big)), scheduler.reserve(requestOf(big)), scheduler.reserve(requestOf(big))]))
   t.is(placedCount(answers), 2, 'two of 2 GB fit into 4 GB')
 })
 
-test('a place that will certainly be free when the prefill ends counts, unless the route would rather not waste prefill', async (t) => {
+test('a slot that will certainly be free when the prefill ends is used, unless the route avoids wasted prefill', async (t) => {
   const outcomes = await Promise.all([RouteObjective.Goodput, RouteObjective.WastedPrefill].map(async (objective) => {
     const { clock, scheduler } = createShard({ prefill: 2, decode: 1, slots: 1, route: { objective, poolSharePercent: 100, clientWeights: {} } })
-    // It ends after at most one step of 27 ms, and a prefill of 1,000 tokens takes 130 ms.
+    // This request ends after at most one step of 27 ms; a prefill of 1,000 tokens takes 130 ms.
     await clock.run(scheduler.reserve(requestOf({ promptTokens: 64, maxTokens: 1 })))
     await clock.advance(5)
     let second = 'waits'
@@ -113,7 +113,7 @@
   t.deepEqual(outcomes, [PlacementOutcome.Placed, 'waits'])
 })
 
-test('what others hold on an engine is counted', async (t) => {
+test('holds of other schedulers on an engine are counted', async (t) => {
   const { clock, scheduler } = createShard({ decode: 1, slots: 2 })
   const label = { ownerAddress: 'x', ownerIncarnation: 'script', requestId: '1', maxHoldMs: 1 }
   scheduler.noteReport('d-1', reportOf(EngineRole.Decode, { holds: [{ label, kind: HoldKind.Decode, kvBytes: 1, tokensDone: 3 }] }))
@@ -121,7 +121,7 @@
   t.is(placedCount(answers), 1)
 })
 
-test('a request goes where its prefix was sent before', async (t) => {
+test('a request goes to the engine that its prefix was sent to before', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 4 })
   const first = await clock.run(scheduler.reserve(requestOf({ prefixes: sharedPrefix('a') })))
   await clock.advance(200)
@@ -129,7 +129,7 @@
   t.is(prefillOf(second), prefillOf(first))
 })
 
-test('a prefix that is asked for more than one engine can serve spreads', async (t) => {
+test('a prefix in more demand than one engine can serve spreads to others', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 3, decode: 4 })
   const answers: PlacementAnswer[] = []
   for (let i = 0; i < 40; i++) {
@@ -154,14 +154,14 @@
   t.not(prefillOf(again), engine, 'the first engine is busy and has no advantage')
 })
 
-test('prefill and decode are never paired over two versions', async (t) => {
+test('prefill and decode engines of different versions are never paired', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 1, decode: 2 })
   scheduler.noteReport('d-1', reportOf(EngineRole.Decode, { loaded: [{ model: 'draft', version: '2' }] }))
   const answers = await clock.run(Promise.all([scheduler.reserve(requestOf()), scheduler.reserve(requestOf())]))
   t.deepEqual([...new Set(answers.flatMap((answer) => answer.outcome === PlacementOutcome.Placed ? answer.decodeEngine : []))], ['d-2'])
 })
 
-test('an engine that is silent, changing, leaving or being emptied gets no work', async (t) => {
+test('an engine that is unresponsive, changing, leaving or retiring gets no work', async (t) => {
   const { clock, scheduler, shard } = createShard({ prefill: 5 })
   scheduler.noteSilent('p-1')
   scheduler.noteReport('p-2', reportOf(EngineRole.Prefill, { changing: true }))
@@ -184,7 +184,7 @@
   t.is(order[0], 'high placed')
 })
 
-test('a client that floods does not keep another one out', async (t) => {
+test('a client that sends too much does not starve another one', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 1, decode: 4 })
   const outcomes: Record<string, PlacementOutcome[]> = { flood: [], small: [] }
   const send = (client: string) => {
@@ -209,7 +209,7 @@
   t.true(share > 0.9, `${(100 * share).toFixed(0)}% of the small client's requests were placed`)
 })
 
-test('a refused request that returns when told to goes before those that were not told', async (t) => {
+test('a retry at its assigned time goes before new requests', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 1, decode: 4 })
   const burst = Array.from({ length: 12 }, () => requestOf())
   const answers = await clock.run(Promise.all(burst.map((request) => scheduler.reserve(request))))
@@ -223,7 +223,7 @@
   await clock.run(Promise.all(newcomers))
 })
 
-test('a new scheduler counts what owners tell it that the one before had placed', async (t) => {
+test('a new scheduler counts the reservations that owners transfer from the previous one', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 4, decode: 1, slots: 2 })
   const before = createShard({ prefill: 4, decode: 1, slots: 2 })
   const request = requestOf()
@@ -234,14 +234,14 @@
   t.is(placedCount(answers), 1)
 })
 
-test('a reservation lapses when its request\'s deadline is past', async (t) => {
+test('a reservation expires after its request\'s deadline', async (t) => {
   const { clock, scheduler } = createShard({ decode: 1, slots: 1 })
   await clock.run(scheduler.reserve(requestOf({ deadlineMs: 2000 })))
   await clock.advance(3100)
   t.is((await clock.run(scheduler.reserve(requestOf()))).outcome, PlacementOutcome.Placed)
 })
 
-test('a slow engine is learnt to be slow', async (t) => {
+test('the speed factor of a slow engine is estimated from its prefills', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 1, decode: 4 })
   for (let i = 0; i < 30; i++) {
     const request = requestOf()
@@ -254,7 +254,7 @@
   t.true(factor > 1.5 && factor < 2.5, `factor ${factor}`)
 })
 
-/** A scheduler of whose places one became free every 400 ms, and whose two places are taken again. */
+/** Creates a scheduler whose slots became free one every 400 ms, and whose two slots are in use again. */
 async function createBusyShard () {
   const admissions: AdmissionOutcome[] = []
   const { clock, scheduler } = createShard({ prefill: 1, decode: 1, slots: 2, onAdmission: (_, __, { outcome }) => admissions.push(outcome) })
@@ -280,7 +280,7 @@
   return requestOf({ ttftLeftMs: 900, patienceMs: 2700, ...over })
 }
 
-test('what has too many before it is refused on arrival, and who has come back is placed first', async (t) => {
+test('a request with too many ahead of it is refused on arrival, and its retry is placed first', async (t) => {
   const { clock, place, releaseNext } = await createBusyShard()
   for (let i = 0; i < 4; i++) void place(patientRequest())
   const late = patientRequest()
@@ -295,7 +295,7 @@
   t.is((await clock.run(returned)).outcome, PlacementOutcome.Placed)
 })
 
-test('a request is refused in the moment in which its engines are lost', async (t) => {
+test('a request is refused as soon as its engines are lost', async (t) => {
   const { clock, scheduler, place } = await createBusyShard()
   const waiting = place(patientRequest())
   await clock.advance(30)
@@ -306,7 +306,7 @@
   t.is(clock.nowMs(), lostAtMs)
 })
 
-test('a request whose queue comes to a standstill is not held until its answer is of no use', async (t) => {
+test('a request in a stalled queue is refused before its answer becomes useless', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 1, decode: 1, slots: 1 })
   await clock.run(scheduler.reserve(patientRequest()))
   const startedAtMs = clock.nowMs()
@@ -315,7 +315,7 @@
   t.true(clock.nowMs() - startedAtMs < 1900, `held for ${clock.nowMs() - startedAtMs} ms`)
 })
 
-test('each decision to keep or refuse a request is told once', async (t) => {
+test('each admission decision is reported once', async (t) => {
   const { clock, place, admissions } = await createBusyShard()
   admissions.length = 0
   void place(patientRequest())
@@ -323,7 +323,7 @@
   t.deepEqual(admissions, [AdmissionOutcome.InTime])
 })
 
-test('a shard that was just taken over keeps requests until its engines report or are silent', async (t) => {
+test('a shard that was just taken over keeps requests until its engines report or are found unresponsive', async (t) => {
   const { clock, scheduler, shard } = createShard({ reported: false })
   const placed = scheduler.reserve(requestOf({ patienceMs: 2000 }))
   const refused = scheduler.reserve(requestOf({ patienceMs: 2000, label: { ownerAddress: '10.0.0.1:1', ownerIncarnation: 'owner', requestId: 'second', maxHoldMs: 30_000 } }))
@@ -339,5 +339,5 @@
   [...silent.shard.prefillEngines, ...silent.shard.decodeEngines].forEach(({ name }) => silent.scheduler.noteSilent(name))
   const askedAtMs = silent.clock.nowMs()
   t.is((await silent.clock.run(answer)).outcome, PlacementOutcome.Refused)
-  t.true(silent.clock.nowMs() - askedAtMs <= 10, 'as soon as that is known')
+  t.true(silent.clock.nowMs() - askedAtMs <= 10, 'as soon as this is known')
 })
--- a/scheduling/scheduler/test/urgency.ts
+++ b/scheduling/scheduler/test/urgency.ts
@@ -3,24 +3,24 @@
 import fc from 'fast-check'
 import { createShard, requestOf } from './__utils__/createShard.js'
 
-/** A request of either kind at a moment; both kinds come as often and with the same sizes. */
+/** One request of each kind arriving together: both kinds have the same rate and sizes. */
 interface Arrival {
   gapMs: number
   promptTokens: number
   urgentFirst: boolean
 }
 
-/** What became of the requests of one kind. */
+/** Results of the requests of one kind. */
 interface Tally {
   sent: number
   served: number
   inTime: number
 }
 
-/** The difference that users take for equal: 5 in 100. */
+/** Differences up to 5 in 100 count as equal. */
 const TOLERANCE = 0.05
 const TTFT_TARGET_MS = 900
-/** Prefills of 1,000 tokens take this long on the test's shard. */
+/** Prefill speed of the test's shard: 1,000 tokens take 130 ms. */
 const PREFILL_MS_PER_TOKEN = 0.13
 
 async function play (arrivals: readonly Arrival[], { streamMs, slots, engineLostAt }: { streamMs: number, slots: number, engineLostAt: number }): Promise<Record<'urgent' | 'other', Tally>> {
@@ -56,7 +56,7 @@
   return tallies
 }
 
-test('an urgent kind of request is never served worse than a less urgent one of the same model, at any load and when engines are lost', async (t) => {
+test('requests of higher priority are never served worse than those of lower priority of the same model, at any load and when engines are lost', async (t) => {
   const arrival = fc.record({ gapMs: fc.integer({ min: 1, max: 160 }), promptTokens: fc.integer({ min: 200, max: 3000 }), urgentFirst: fc.boolean() })
   const load = fc.record({
     arrivals: fc.array(arrival, { minLength: 60, maxLength: 90 }),
