--- a/scheduling/placer/src/placer.ts
+++ b/scheduling/placer/src/placer.ts
@@ -1,27 +1,27 @@
 import { type EngineOutcome, type PlacementPlan, type PlacementReport, type PlacementRefusal, type ReserveRequest } from '@reelspan/core.messages'
 
-/** A request to be placed. The placer finds the shard. */
+/** A request to be placed. The placer chooses the shard. */
 export type PlaceRequest = Omit<ReserveRequest, 'shardId'> & { model: string }
 
 export interface PlaceOptions {
   signal: AbortSignal
 }
 
-/** A plan and the means to give it back. */
+/** A plan and the callbacks to report on it and to release it. */
 export interface Placement {
   plan: PlacementPlan
-  /** Who placed it: a scheduler's box, or this box alone. */
+  /** The box whose scheduler placed the request, or a label if it was placed without a scheduler. */
   placedBy: string
-  /** The prefill has ended: its engine is free for another one. */
+  /** Reports that the prefill has ended, so that its engine can start another one. */
   prefilled: () => void
-  /** Ends the reservation. Called once on every way out, with how its engines answered and a report of a request that finished. */
+  /** Releases the reservation. Called exactly once however the request ends, with the outcomes of its engines and, if it finished, a report. */
   release: (report?: PlacementReport, outcomes?: readonly EngineOutcome[]) => void
-  /** The decode stream runs: `tokensDone` tokens were received so far. */
+  /** Reports that `tokensDone` tokens of the decode stream were received so far. */
   progressed: (tokensDone: number) => void
 }
 
-/** Decides where requests run. */
+/** Decides on which engines requests run. */
 export abstract class Placer {
-  /** Reserves what the request needs, or refuses it with a time to return. */
+  /** Reserves capacity for the request, or refuses it with a retry delay. */
   abstract place (request: PlaceRequest, opts: PlaceOptions): Promise<Placement | PlacementRefusal>
 }
--- a/scheduling/scheduler-placer/src/schedulerPlacer.ts
+++ b/scheduling/scheduler-placer/src/schedulerPlacer.ts
@@ -11,38 +11,38 @@
   link: PeerLink
   /** This box's incarnation. */
   selfIncarnation: () => string
-  /** Members that may be schedulers, by this box's view. */
+  /** Members that may be schedulers, in this box's view. */
   schedulers: () => readonly Member[]
   shardsOfModel: (model: string) => readonly Shard[]
-  /** This box's own scheduler of a shard. */
+  /** The scheduler of a shard if it runs on this box. */
   localScheduler: (shardId: string) => ShardScheduler | undefined
-  /** Places alone while no scheduler can be reached. */
+  /** Places requests without a scheduler while none can be reached. */
   fallback: Placer
 }
 
-/** Shards that a request is offered to, one after the other. */
+/** Number of shards that are tried in turn for a request. */
 const MAX_SHARDS_TRIED = 2
-/** A scheduler answers at the latest when the first token would be of no use; this is for the way. */
+/** A scheduler answers at the latest when the first token would no longer be useful; this is added for the round trip. */
 const ANSWER_SLACK_MS = 100
 const RELEASE_TIMEOUT_MS = 1000
-/** Prompts share a shard by this many of their first tokens. */
+/** Prompts with the same first tokens, up to this many, are sent to the same shard. */
 const AFFINITY_TOKENS = 512
 
-/** The answer to a request that has ended while it was being placed. */
+/** The answer to a request that ended while it was being placed. */
 const WITHDRAWN: PlacementRefusal = { outcome: PlacementOutcome.Refused, reason: 'withdrawn', retryAfterMs: 0 }
 
-/** A placement that has not been given back. */
+/** A placement that has not been released. */
 interface LivePlacement {
   request: ReserveRequest
   plan: PlacementPlan
   placedAtMs: number
   tokensDone: number
   scheduler: Member
-  /** Schedulers that accounted for it before. They are told of its end as well. */
+  /** Schedulers that had the reservation before. It is released there as well. */
   previousSchedulers: Member[]
 }
 
-/** Asks the scheduler of a shard of the model, and spills to a second shard. */
+/** Places requests through the scheduler of one of the model's shards, and spills to a second shard. */
 export class SchedulerPlacer extends Placer {
   readonly #opts: SchedulerPlacerOptions
   readonly #live = new Map<string, LivePlacement>()
@@ -72,7 +72,7 @@
     return earliestRetry(refusals)
   }
 
-  /** Tells schedulers that are new in their shard what this box has placed there. */
+  /** Sends this box's reservations to schedulers that have taken over a shard. */
   async adoptByNewSchedulers (): Promise<void> {
     const moved = [...this.#live.values()].flatMap((live) => {
       const shard = this.#shard(live.request)
@@ -83,7 +83,7 @@
     await Promise.all([...shardIds].map((shardId) => this.#transferReservations(shardId, moved.filter(({ live }) => live.request.shardId === shardId))))
   }
 
-  /** The request's home shard by its prefix, and one more to spill to. */
+  /** The shard preferred for the request's prefix, and one more to spill to. */
   #shardsFor (request: PlaceRequest): Shard[] {
     const shards = this.#opts.shardsOfModel(request.model)
     if (shards.length <= 1) return [...shards]
@@ -96,7 +96,7 @@
     return this.#opts.shardsOfModel(model ?? shardId.split('#')[0]).find(({ id }) => id === shardId)
   }
 
-  /** Answers nothing when no scheduler can be asked. Whoever asked in vain, or for a request that has ended, gives back what it may have got. */
+  /** Returns undefined if no scheduler can be reached. After a failed call, or if the request ends meanwhile, any reservation made is released. */
   async #reserveOnShard (shard: Shard, request: ReserveRequest & PlaceRequest, signal: AbortSignal): Promise<Placement | PlacementRefusal | undefined> {
     const scheduler = schedulerOf(shard, this.#opts.schedulers())
     if (!scheduler) return undefined
@@ -116,7 +116,7 @@
     }
   }
 
-  /** When the connection went silent and the scheduler answers on a new one, what it may have reserved is taken back first. */
+  /** If the connection is unresponsive, releases any reservation made over it and retries on a new connection. */
   async #reserveWithReconnect (scheduler: Member, request: ReserveRequest, signal: AbortSignal): Promise<PlacementAnswer> {
     const { clock } = this.#opts
     const askedAtMs = clock.nowMs()
@@ -165,16 +165,16 @@
   #sendPrefillEnd ({ scheduler, request: { shardId, label } }: LivePlacement): void {
     const { link, localScheduler, selfIncarnation } = this.#opts
     if (scheduler.incarnation === selfIncarnation()) return localScheduler(shardId)?.prefilled(label)
-    // The link tells of a failure; the scheduler goes by its own estimate then.
+    // The link reports a failure; the scheduler then relies on its own estimate.
     link.call(scheduler.peerAddress, { type: MessageType.PrefillDone, shardId, label }, { timeoutMs: RELEASE_TIMEOUT_MS, repeatable: true }).catch(() => {})
   }
 
-  /** Not waited for: a reservation that is not given back lapses by itself. */
+  /** Does not wait for the answer: a reservation that is not released expires. */
   #release (scheduler: Member, request: { shardId: string, label: HoldLabel }, report?: PlacementReport, outcomes: readonly EngineOutcome[] = []): void {
     const { link, localScheduler, selfIncarnation } = this.#opts
     const { shardId, label } = request
     if (scheduler.incarnation === selfIncarnation()) return localScheduler(shardId)?.release(label, report, outcomes)
-    // The link tells of a failure.
+    // The link reports a failure.
     link.call(scheduler.peerAddress, { type: MessageType.ReleaseReservation, shardId, label, report, outcomes: [...outcomes] }, { timeoutMs: RELEASE_TIMEOUT_MS, repeatable: true }).catch(() => {})
   }
 
@@ -188,24 +188,24 @@
       decoding: live.tokensDone > 0,
       tokensDone: live.tokensDone,
     }))
-    // The link tells of a failure; a scheduler that was not told sees what runs in the engines' reports alone.
+    // The link reports a failure; the scheduler then learns of the running requests only from engine reports.
     if (scheduler.incarnation === selfIncarnation()) localScheduler(shardId)?.adopt(reservations)
     else await link.call(scheduler.peerAddress, { type: MessageType.AdoptReservations, shardId, reservations }, { timeoutMs: RELEASE_TIMEOUT_MS, repeatable: true }).catch(() => {})
     moved.forEach(({ live }) => this.#completeTransfer(live, scheduler))
   }
 
   /**
-   * From now on the new scheduler accounts for a placement. The one before keeps it as well, as long
-   * as it runs: other boxes may still ask that one.
+   * Makes the new scheduler the one that has the reservation. The previous one keeps it until the
+   * request ends, because other boxes may still place through it.
    */
   #completeTransfer (live: LivePlacement, scheduler: Member): void {
     live.previousSchedulers = [...live.previousSchedulers, live.scheduler].filter(({ incarnation }) => incarnation !== scheduler.incarnation)
     live.scheduler = scheduler
-    // It may have ended while the new scheduler was told of it.
+    // The request may have ended during the transfer.
     if (!this.#live.has(holdLabelKey(live.request.label))) this.#release(scheduler, live.request)
   }
 
-  /** What an earlier scheduler keeps of a placement would take a place until the request's deadline, if its box schedules the shard again. */
+  /** Otherwise the reservation would occupy a slot until the request's deadline, if the previous scheduler takes over the shard again. */
   #releaseAtPreviousSchedulers ({ previousSchedulers, request }: LivePlacement): void {
     const aliveIncarnations = new Set(this.#opts.schedulers().map(({ incarnation }) => incarnation))
     previousSchedulers.filter(({ incarnation }) => aliveIncarnations.has(incarnation)).forEach((scheduler) => this.#release(scheduler, request))
--- a/scheduling/scheduler-placer/test/__utils__/createPlacer.ts
+++ b/scheduling/scheduler-placer/test/__utils__/createPlacer.ts
@@ -12,19 +12,19 @@
 const SELF = 'a'.repeat(16)
 const OTHER = 'b'.repeat(16)
 
-/** A link whose calls are answered by the test. */
+/** A link whose calls the test answers. */
 class ManualLink extends PeerLink {
   readonly calls: { message: PeerMessage, answer: (message: PeerMessage) => void }[] = []
 
   call (address: string, message: PeerMessage, { signal }: PeerCallOptions): Promise<PeerMessage> {
     return new Promise((resolve, reject) => {
       this.calls.push({ message, answer: resolve })
-      signal?.addEventListener('abort', () => reject(new PeerLinkError(`the exchange with ${address} was given up`, { mayHaveArrived: true })))
+      signal?.addEventListener('abort', () => reject(new PeerLinkError(`the call to ${address} was aborted`, { mayHaveArrived: true })))
     })
   }
 
   async * stream (): AsyncGenerator<PeerMessage> {
-    throw new Error('nothing here asks for a stream')
+    throw new Error('streams are not supported by this link')
   }
 
   serve (): void {}
@@ -41,17 +41,17 @@
 
   async place (): Promise<Placement | PlacementRefusal> {
     this.asked++
-    return { outcome: PlacementOutcome.Refused, reason: 'nobody answers', retryAfterMs: 100 }
+    return { outcome: PlacementOutcome.Refused, reason: 'no engine answers', retryAfterMs: 100 }
   }
 }
 
 export interface TestPlacerOptions {
   shards?: number
-  /** Another box schedules. */
+  /** The scheduler runs on another box. */
   remote?: boolean
 }
 
-/** A placer of a box that schedules itself, or asks another box. */
+/** Creates a placer on a box that runs the scheduler itself, or calls another box's scheduler. */
 export function createPlacer ({ shards = 1, remote = false }: TestPlacerOptions = {}) {
   const clock = new VirtualClock()
   const link = new ManualLink()
@@ -59,7 +59,7 @@
   const createScheduler = (shard: Shard) => new ShardScheduler({ clock, shard, route: () => undefined, index: createPrefixIndex(PrefixIndexKind.Events), reportLifeMs: 1_000_000 })
   const listed = Array.from({ length: shards }, (_, i) => shardOf(`draft#${i}`))
   const schedulers = new Map(listed.map((shard) => [shard.id, createScheduler(shard)]))
-  // Like a view's, the list is another one after each change.
+  // A new list after each change, as in a membership view.
   let members = [memberOf(remote ? OTHER : SELF)]
   const placer = new SchedulerPlacer({
     clock,
@@ -70,7 +70,7 @@
     localScheduler: (id) => schedulers.get(id),
     fallback,
   })
-  /** Another box takes the shards over; the one before lives on. */
+  /** Another box takes over the shards; the previous scheduler stays alive. */
   const replaceScheduler = () => {
     const current = members[0]?.incarnation === SELF ? OTHER : SELF
     members = [withHeadroom(memberOf(current)), ...members]
@@ -78,7 +78,7 @@
   return { clock, link, fallback, placer, schedulers: [...schedulers.values()], replaceScheduler }
 }
 
-/** A member that is chosen before those with usual room. */
+/** A member that is chosen before those with default headroom. */
 function withHeadroom (member: Member): Member {
   return { ...member, room: 10 }
 }
@@ -87,7 +87,7 @@
   return { name: `box-${incarnation[0]}`, availabilityZone: 'z', peerAddress: '10.0.0.2:1', callerAddress: '10.0.0.2:2', incarnation, version: 1, health: MemberHealth.Alive, leaving: false }
 }
 
-/** Lets a scheduler whose engines had not reported place what waits. */
+/** Records the first reports of the engines, so that the scheduler places waiting requests. */
 export function reportEngines (scheduler: ShardScheduler): void {
   const report = { loaded: [{ model: 'draft', version: '1' }], changing: false, placesUsed: 0, placesTotal: 20, kvBytesUsed: 0, kvBytesTotal: 4e9, prefillQueueMs: 0, fence: 0, holds: [] }
   scheduler.noteReport('d-1', { ...report, role: EngineRole.Decode })
--- a/scheduling/scheduler-placer/test/schedulerPlacer.ts
+++ b/scheduling/scheduler-placer/test/schedulerPlacer.ts
@@ -2,7 +2,7 @@
 import test from 'ava'
 import { createPlacer, PLAN, reportEngines, requestOf } from './__utils__/createPlacer.js'
 
-test('a request that waits at the own scheduler is withdrawn when its caller leaves, and offered to no other shard', async (t) => {
+test('a request that waits at the local scheduler is withdrawn when its caller aborts, and no other shard is tried', async (t) => {
   const { clock, placer, schedulers } = createPlacer({ shards: 2 })
   const callerAbort = new AbortController()
   const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
@@ -14,7 +14,7 @@
   t.false('plan' in await clock.run(placing, 0))
 })
 
-test('a place that is found in the moment in which the caller leaves is not held', async (t) => {
+test('a reservation made at the moment when the caller aborts is released', async (t) => {
   const { clock, placer, schedulers: [scheduler] } = createPlacer()
   const callerAbort = new AbortController()
   const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
@@ -27,7 +27,7 @@
   t.is(placer.liveCount, 0)
 })
 
-test('a request on its way to another box\'s scheduler is withdrawn there once, and nobody else is asked', async (t) => {
+test('a request that waits at another box\'s scheduler is withdrawn there once when its caller aborts, and nothing else is tried', async (t) => {
   const { clock, fallback, link, placer } = createPlacer({ remote: true, shards: 2 })
   const callerAbort = new AbortController()
   const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
@@ -39,7 +39,7 @@
   t.is(fallback.asked, 0)
 })
 
-test('a place that another box found in the moment in which the caller leaves is given back and not held', async (t) => {
+test('a reservation made by another box at the moment when the caller aborts is released there', async (t) => {
   const { clock, link, placer } = createPlacer({ remote: true })
   const callerAbort = new AbortController()
   const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
@@ -51,14 +51,14 @@
   t.is(placer.liveCount, 0)
 })
 
-test('for a caller that has left no scheduler is asked', async (t) => {
+test('no scheduler is called for a request that is already aborted', async (t) => {
   const { clock, fallback, link, placer } = createPlacer({ remote: true })
   t.false('plan' in await clock.run(placer.place(requestOf('r1'), { signal: AbortSignal.abort() }), 0))
   t.is(link.calls.length, 0)
   t.is(fallback.asked, 0)
 })
 
-test('a scheduler whose shard another one has taken over is told when what it had placed ends', async (t) => {
+test('a reservation is also released at the previous scheduler of its shard', async (t) => {
   const { clock, link, placer, schedulers: [scheduler], replaceScheduler } = createPlacer()
   reportEngines(scheduler)
   const placement = await clock.run(placer.place(requestOf('r1'), { signal: new AbortController().signal }), 0)
@@ -69,14 +69,14 @@
   await clock.advance(0)
   link.calls[0].answer({ type: MessageType.Done })
   await clock.run(adopting, 0)
-  t.is(scheduler.ledger.reservationCount, 1, 'other boxes may still ask it')
+  t.is(scheduler.ledger.reservationCount, 1, 'other boxes may still place through it')
   placement.release()
   t.is(scheduler.ledger.reservationCount, 0)
-  t.is(link.ofType(MessageType.ReleaseReservation).length, 1, 'and so is the new one')
+  t.is(link.ofType(MessageType.ReleaseReservation).length, 1, 'the new scheduler releases it too')
   t.is(placer.liveCount, 0)
 })
 
-test('a request that ends while its shard is taken over is held by neither scheduler', async (t) => {
+test('a request that ends while its shard is taken over leaves no reservation at either scheduler', async (t) => {
   const { clock, link, placer, schedulers: [scheduler], replaceScheduler } = createPlacer()
   reportEngines(scheduler)
   const placement = await clock.run(placer.place(requestOf('r1'), { signal: new AbortController().signal }), 0)
@@ -88,5 +88,5 @@
   link.calls[0].answer({ type: MessageType.Done })
   await clock.run(adopting, 0)
   t.is(scheduler.ledger.reservationCount, 0)
-  t.deepEqual(link.ofType(MessageType.ReleaseReservation).length, 1, 'the new one is told as well')
+  t.deepEqual(link.ofType(MessageType.ReleaseReservation).length, 1, 'the new scheduler releases it too')
 })
--- a/scheduling/scheduler-placer/test/unresponsiveConnection.ts
+++ b/scheduling/scheduler-placer/test/unresponsiveConnection.ts
@@ -74,15 +74,15 @@
   return { placement, sent: link.sent }
 }
 
-test('a scheduler whose connection went silent is asked again on a new one, after what it may have reserved is taken back', async (t) => {
-  const { placement, sent } = await placeWithFailure(new PeerLinkError('the connection went silent', { mayHaveArrived: true, silent: true }))
+test('a call over an unresponsive connection is retried on a new one, after any reservation is released', async (t) => {
+  const { placement, sent } = await placeWithFailure(new PeerLinkError('the connection is unresponsive', { mayHaveArrived: true, silent: true }))
   t.like(placement, { placedBy: 'scheduler' })
   t.deepEqual(sent.map(({ message }) => message.type), [MessageType.Reserve, MessageType.ReleaseReservation, MessageType.Reserve])
   t.like(sent[2].message, { request: { ttftLeftMs: 650, patienceMs: 2450 } })
 })
 
-test('a scheduler that gives no sign of life is not waited for', async (t) => {
-  const { placement, sent } = await placeWithFailure(new PeerLinkError('no sign of life', { mayHaveArrived: true }))
+test('an unresponsive scheduler is not waited for', async (t) => {
+  const { placement, sent } = await placeWithFailure(new PeerLinkError('the peer does not answer', { mayHaveArrived: true }))
   t.like(placement, { placedBy: 'alone' })
   t.deepEqual(sent.map(({ message }) => message.type), [MessageType.Reserve, MessageType.ReleaseReservation])
   t.true(sent[0].opts.endIfSilent)
