--- a/scheduling/owner-alone/src/enginePicker.ts
+++ b/scheduling/owner-alone/src/enginePicker.ts
@@ -9,13 +9,13 @@
   PrefixHash = 'prefixHash',
 }
 
-/** How an owner that places alone picks among engines. */
+/** Strategy by which an owner that places without a scheduler picks an engine. */
 export abstract class EnginePicker {
   /**
-   * Picks one of `engines`, which are not empty.
+   * Picks one of `engines`, which must not be empty.
    *
-   * @param loadOf the believed load, smaller is better
-   * @param prefix digest that requests with the same beginning share
+   * @param loadOf the estimated load; lower is better
+   * @param prefix digest shared by requests whose prompts begin alike
    */
   abstract pick<T extends { name: string }> (engines: readonly T[], loadOf: (engine: T) => number, prefix: string): T
 }
@@ -67,9 +67,9 @@
 }
 
 /**
- * Sends requests with the same beginning to the same engine, and to the next
- * one in its order while that one has much more to do than the least loaded.
- * It needs no index: every owner computes the same order.
+ * Sends requests whose prompts begin alike to the same engine. If that engine has much
+ * more load than the least loaded one, the next engine in rendezvous order is taken.
+ * No index is needed, because every owner computes the same order.
  */
 export class PrefixHashPicker extends EnginePicker {
   pick<T extends { name: string }> (engines: readonly T[], loadOf: (engine: T) => number, prefix: string): T {
@@ -79,7 +79,7 @@
   }
 }
 
-/** Load over the least loaded engine (ms of prefill, or places) at which a prefix spills to its next engine. */
+/** A prefix spills to its next engine at this much more load than the least loaded engine has (ms of prefill, or slots). */
 const HASH_SPILL_LOAD = 150
 
 export function createEnginePicker (kind: PickerKind, random: Random): EnginePicker {
--- a/scheduling/owner-alone/src/localPlacer.ts
+++ b/scheduling/owner-alone/src/localPlacer.ts
@@ -10,19 +10,19 @@
 export interface LocalPlacerOptions {
   clock: Clock
   picker: EnginePicker
-  /** For decode engines, where a prefix means nothing. */
+  /** Picks decode engines, which have no prefix locality. */
   decodePicker: EnginePicker
   reports: ReportSource
   index: PrefixIndex
   shardsOfModel: (model: string) => readonly Shard[]
-  /** Refuse what would be late or finds no place. */
+  /** Refuse requests that would be late or find no free slot. */
   admission: boolean
   /**
-   * How much this owner's own placements since each report count: 0 not at all,
-   * the number of owners when each is taken to place as much as this one.
+   * The number of owners that are assumed to place as much as this one, so that its own
+   * placements since the last report stand for all. 0 ignores placements since the report.
    */
   ownWeight: () => number
-  /** Part of each decode engine's places that may be used, in percent. */
+  /** Percentage of each decode engine's slots that may be used. */
   placesPercent: number
 }
 
@@ -30,15 +30,15 @@
   name: string
   engine: ListedUpstream
   dated: DatedReport
-  /** Believed load: queue for a prefill engine in ms, places used for a decode engine. */
+  /** Estimated load: queued work in ms for a prefill engine, slots in use for a decode engine. */
   load: number
   version: string
 }
 
-/** The load of an engine by what it reported, what was placed since, and how long ago that was. */
+/** Estimates the load of an engine from its report, the load placed since the report, and the report's age. */
 type LoadEstimate = (report: DatedReport['report'], unreportedLoad: number, ageMs: number) => number
 
-/** A queue gets shorter by a millisecond of work each millisecond. */
+/** Assumes that the reported queue has drained since: 1 ms of work per ms. */
 const prefillLoad: LoadEstimate = ({ prefillQueueMs }, unreportedLoad, ageMs) => Math.max(0, prefillQueueMs + unreportedLoad - ageMs)
 
 const decodeLoad: LoadEstimate = ({ placesUsed }, unreportedLoad) => placesUsed + unreportedLoad
@@ -49,23 +49,23 @@
   load: number
 }
 
-/** What engines report is about this old when it arrives. */
+/** Approximate age of an engine's report when it is received. */
 const REPORT_LAG_MS = 500
 const START_WITHIN_MS = 1000
 const REFUSAL_RETRY_AFTER_MS = 500
-/** Prompts are kept together by this many of their first tokens. */
+/** Prompts with the same first tokens, up to this many, are sent to the same engine. */
 const AFFINITY_TOKENS = 1024
 /**
- * Part of the first-token target that an estimate may use up, since reports are
- * old. Of 0.7 and 1, the first gave more goodput in trials.
+ * Share of the first-token target that an estimate may use, since reports are
+ * outdated. 0.7 gives more goodput than 1.
  */
 const ADMISSION_MARGIN = 0.7
-/** Part of the longest answer that is reckoned with. An owner alone sees too few answers to learn it. */
+/** Expected answer length as a share of the maximum. A single owner sees too few answers to estimate it. */
 const TYPICAL_ANSWER_SHARE = 0.6
-/** Own placements are remembered until reports must have seen them. */
+/** Own placements are kept until reports must include them. */
 const OWN_PLACEMENT_LIFE_MS = 2000
 
-/** Places from an owner's own knowledge: engine reports and its own recent placements. */
+/** Places requests without a scheduler, from engine reports and this owner's own recent placements. */
 export class LocalPlacer extends Placer {
   readonly #opts: LocalPlacerOptions
   #ownPlacements: OwnPlacement[] = []
@@ -82,10 +82,10 @@
     const decodeListed = shards.flatMap((shard) => shard.decodeEngines).filter(({ leaving }) => !leaving)
     const [prefillReports, decodeReports] = await Promise.all([reports.reports(prefillListed), reports.reports(decodeListed)])
     const prefill = this.#pickPrefill(request, this.#candidates(prefillListed, prefillReports, request, prefillLoad))
-    if (!prefill) return refusal('no prefill engine answers')
+    if (!prefill) return refusal('no prefill engine has a usable report')
     const decodes = this.#candidates(decodeListed, decodeReports, request, decodeLoad)
       .filter(({ version }) => version === prefill.version)
-    if (decodes.length === 0) return refusal('no decode engine answers')
+    if (decodes.length === 0) return refusal('no decode engine has a usable report')
     const decode = this.#opts.decodePicker.pick(decodes, ({ load }) => load, '')
     const shard = shards.find(({ prefillEngines }) => prefillEngines.includes(prefill.engine)) as Shard
     if (admission && !this.#isInTime(request, prefill, shard)) return refusal('the first token would be late')
@@ -105,7 +105,7 @@
     })
   }
 
-  /** What was placed since a report: by this owner, exactly; by each other one as much as by this one, spread evenly. */
+  /** The load placed on an engine since its report: this owner's exactly, and the same total for each other owner, spread evenly over the engines. */
   #unreportedLoad (engine: string, listed: readonly ListedUpstream[], reportAtMs: number): number {
     const owners = this.#opts.ownWeight()
     if (owners === 0) return 0
@@ -115,7 +115,7 @@
     return sumOf(recent.filter((own) => own.engine === engine)) + (owners - 1) * sumOf(recent) / listed.length
   }
 
-  /** Prefers an engine that has a prefix of the prompt, unless another would be done sooner. */
+  /** Picks the engine that would finish first, among the picker's choice and the engines that have a prefix of the prompt cached. */
   #pickPrefill (request: PlaceRequest, candidates: Candidate[]): Candidate | undefined {
     if (candidates.length === 0) return undefined
     const shard = this.#opts.shardsOfModel(request.model)[0]
@@ -165,7 +165,7 @@
   }
 }
 
-/** Names the beginning that a request shares with others. */
+/** The key that requests whose prompts begin alike have in common. */
 function affinityOf ({ prefixes, label }: PlaceRequest): string {
   return prefixes.findLast(({ tokens }) => tokens <= AFFINITY_TOKENS)?.digest ?? label.requestId
 }
--- a/scheduling/owner-alone/src/onDemandReports.ts
+++ b/scheduling/owner-alone/src/onDemandReports.ts
@@ -7,11 +7,11 @@
   random: Random
   engines: EngineClient
   timeoutMs: number
-  /** Engines asked for each placement, of each pool. */
+  /** Number of engines polled per placement and pool. */
   sampleSize: number
 }
 
-/** Asks a few random engines at the moment of placing. Costs nothing while it is not used. */
+/** Polls a few random engines for each placement. It has no cost while it is not used. */
 export class OnDemandReports extends ReportSource {
   readonly #opts: OnDemandReportsOptions
 
@@ -25,7 +25,7 @@
     const asked = random.sample(listed, sampleSize)
     const answers = await Promise.all(asked.map(async (upstream) => {
       const { name, address } = upstream
-      // The client tells of a failure; an engine without a report is not chosen.
+      // The client reports the failure; engines without a report are not picked.
       const report = await engines.report(address, { timeoutMs }).catch(() => undefined)
       return report && reportStart(upstream, report) === ReportStart.Same ? [[name, { report, atMs: clock.nowMs() }] as const] : []
     }))
--- a/scheduling/owner-alone/src/polledReports.ts
+++ b/scheduling/owner-alone/src/polledReports.ts
@@ -7,11 +7,11 @@
   engines: EngineClient
   listed: () => readonly ReportedUpstream[]
   periodMs: number
-  /** Told of a task that a fault of the program ended. */
+  /** Called when a task ends with an unexpected error. */
   onTaskError?: TaskErrorListener
 }
 
-/** Asks every engine now and then. What it answers is as old as the last pass, and lags as the engines' word does. */
+/** Polls all engines periodically. Reports are as old as the last poll, plus the delay of the engines' own reporting. */
 export class PolledReports extends ReportSource {
   readonly #opts: PolledReportsOptions
   readonly #tasks: TaskGroup
@@ -36,7 +36,7 @@
     const { clock, engines, listed, periodMs } = this.#opts
     await Promise.all(listed().map(async (upstream) => {
       const { name, address } = upstream
-      // The client tells of a failure; the report before stays, and its age with it.
+      // The client reports the failure. An engine that did not answer has no report until the next poll.
       const report = await engines.report(address, { timeoutMs: periodMs }).catch(() => undefined)
       if (report && reportStart(upstream, report) === ReportStart.Same) this.#latest.set(name, { report, atMs: clock.nowMs() })
       else this.#latest.delete(name)
--- a/scheduling/owner-alone/src/reportSource.ts
+++ b/scheduling/owner-alone/src/reportSource.ts
@@ -1,21 +1,21 @@
 import { type EngineReport } from '@reelspan/upstream.client'
 
-/** A report and when it came, on this box's clock. */
+/** A report and the time it was received, on this box's clock. */
 export interface DatedReport {
   report: EngineReport
   atMs: number
 }
 
-/** An engine that is asked for its report. */
+/** An engine to get a report from. */
 export interface ReportedUpstream {
   name: string
   address: string
-  /** When the start of it that is asked began, where the list tells. */
+  /** Start time of the listed process of the engine, if the list has it. */
   startedAtMs?: number
 }
 
-/** Where an owner that places alone gets engine reports. */
+/** Source of engine reports for an owner that places without a scheduler. */
 export abstract class ReportSource {
-  /** Reports of those engines that answered. */
+  /** Returns the reports of the engines that answered. */
   abstract reports (engines: readonly ReportedUpstream[]): Promise<Map<string, DatedReport>>
 }
