--- a/scheduling/ledger/src/shardLedger.ts
+++ b/scheduling/ledger/src/shardLedger.ts
@@ -42,7 +42,7 @@
 
 export interface ShardLedgerOptions {
   /** An engine whose last report is older than this gets no work. */
-  reportLifeMs: number
+  maxReportAgeMs: number
 }
 
 /** Accounts for all reservations of one shard. A reservation is a plan, not a guarantee: the engine itself may still refuse. */
@@ -102,7 +102,7 @@
   servedVersion (engine: EngineAccount<unknown>, nowMs: number): string | undefined {
     const { report } = engine
     // While an engine changes its role, the fleet list and its report disagree for a while; it gets no work of either role then.
-    const usable = report && report.role === engine.role && !engine.leaving && !engine.retiring && !report.changing && nowMs - engine.reportAtMs <= this.#opts.reportLifeMs
+    const usable = report && report.role === engine.role && !engine.leaving && !engine.retiring && !report.changing && nowMs - engine.reportAtMs <= this.#opts.maxReportAgeMs
     const servedName = this.#shard.spec.servedName ?? this.#shard.model
     return usable ? report.loaded.find(({ model }) => model === servedName)?.version : undefined
   }
--- a/scheduling/ledger/test/restartedEngines.ts
+++ b/scheduling/ledger/test/restartedEngines.ts
@@ -21,7 +21,7 @@
 }
 
 function createLedger (startedAtMs = 100) {
-  const ledger = new ShardLedger(shardOf(startedAtMs), { reportLifeMs: 10_000 })
+  const ledger = new ShardLedger(shardOf(startedAtMs), { maxReportAgeMs: 10_000 })
   const served = () => ledger.allEngines().map((engine) => ledger.servedVersion(engine, 0))
   return { ledger, served }
 }
--- a/scheduling/scheduler-placer/src/schedulerPlacer.ts
+++ b/scheduling/scheduler-placer/src/schedulerPlacer.ts
@@ -119,13 +119,13 @@
   /** If the connection is unresponsive, releases any reservation made over it and retries on a new connection. */
   async #reserveWithReconnect (scheduler: Member, request: ReserveRequest, signal: AbortSignal): Promise<PlacementAnswer> {
     const { clock } = this.#opts
-    const askedAtMs = clock.nowMs()
+    const startedAtMs = clock.nowMs()
     try {
       return await this.#reserve(scheduler, request, signal)
     } catch (thrown) {
       if (!(thrown instanceof PeerLinkError) || !thrown.silent || signal.aborted) throw thrown
       this.#release(scheduler, request)
-      const elapsedMs = clock.nowMs() - askedAtMs
+      const elapsedMs = clock.nowMs() - startedAtMs
       const patienceMs = request.patienceMs === undefined ? undefined : request.patienceMs - elapsedMs
       return this.#reserve(scheduler, { ...request, ttftLeftMs: request.ttftLeftMs - elapsedMs, patienceMs }, signal)
     }
@@ -205,7 +205,7 @@
     if (!this.#live.has(holdLabelKey(live.request.label))) this.#release(scheduler, live.request)
   }
 
-  /** Otherwise the reservation would occupy a slot until the request's deadline, if the previous scheduler takes over the shard again. */
+  /** Releases the reservation at previous schedulers as well: it would occupy a slot until the request's deadline if one of them took over the shard again. */
   #releaseAtPreviousSchedulers ({ previousSchedulers, request }: LivePlacement): void {
     const aliveIncarnations = new Set(this.#opts.schedulers().map(({ incarnation }) => incarnation))
     previousSchedulers.filter(({ incarnation }) => aliveIncarnations.has(incarnation)).forEach((scheduler) => this.#release(scheduler, request))
--- a/scheduling/scheduler/src/shardScheduler.ts
+++ b/scheduling/scheduler/src/shardScheduler.ts
@@ -75,7 +75,7 @@
 
   constructor (opts: ShardSchedulerOptions) {
     this.#opts = opts
-    this.ledger = new ShardLedger(opts.shard, { reportLifeMs: opts.reportLifeMs })
+    this.ledger = new ShardLedger(opts.shard, { maxReportAgeMs: opts.reportLifeMs })
     this.#observations = new PlacementObservations(this.ledger)
     const { lengths, placesLimit } = this.#observations
     this.#health = new UpstreamHealth(opts)
