--- a/scheduling/owner-alone/src/freshReports.ts
+++ b/scheduling/owner-alone/src/onDemandReports.ts
@@ -2,20 +2,20 @@
 import { type EngineClient, ReportStart, reportStart } from '@reelspan/upstream.client'
 import { type DatedReport, type ReportedUpstream, ReportSource } from './reportSource.js'
 
-export interface FreshReportsOptions {
+export interface OnDemandReportsOptions {
   clock: Clock
   random: Random
   engines: EngineClient
   timeoutMs: number
-  /** Engines asked for each placement, of each pool. */
+  /** Number of engines polled per placement and pool. */
   sampleSize: number
 }
 
-/** Asks a few random engines at the moment of placing. Costs nothing while it is not used. */
-export class FreshReports extends ReportSource {
-  readonly #opts: FreshReportsOptions
+/** Polls a few random engines for each placement. It has no cost while it is not used. */
+export class OnDemandReports extends ReportSource {
+  readonly #opts: OnDemandReportsOptions
 
-  constructor (opts: FreshReportsOptions) {
+  constructor (opts: OnDemandReportsOptions) {
     super()
     this.#opts = opts
   }
@@ -25,7 +25,7 @@
     const asked = random.sample(listed, sampleSize)
     const answers = await Promise.all(asked.map(async (upstream) => {
       const { name, address } = upstream
-      // The client tells of a failure; an engine without a report is not chosen.
+      // The client reports the failure; engines without a report are not picked.
       const report = await engines.report(address, { timeoutMs }).catch(() => undefined)
       return report && reportStart(upstream, report) === ReportStart.Same ? [[name, { report, atMs: clock.nowMs() }] as const] : []
     }))
--- a/scheduling/prefix-index/src/entriesPrefixIndex.ts
+++ b/scheduling/prefix-index/src/entriesPrefixIndex.ts
@@ -1,7 +1,7 @@
 import { EngineEntries } from './engineEntries.js'
 import { type CachedPrefix, PrefixIndex } from './prefixIndex.js'
 
-/** What the indexes that remember sent prefixes share. */
+/** Base class of the indexes that keep the prefixes sent to each engine. */
 export abstract class EntriesPrefixIndex extends PrefixIndex {
   readonly #maxEntriesPerEngine: number
   readonly #engines = new Map<string, EngineEntries>()
@@ -16,7 +16,7 @@
   }
 
   noteSent (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): void {
-    this.entriesOf(engine).note(prefixes, nowMs)
+    this.entriesOf(engine).recordSent(prefixes, nowMs)
   }
 
   cachedTokens (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): number {
@@ -28,7 +28,7 @@
     return longest?.tokens ?? 0
   }
 
-  forgetEngine (engine: string): void {
+  removeEngine (engine: string): void {
     this.#engines.delete(engine)
   }
 
--- a/scheduling/prefix-index/src/eventPrefixIndex.ts
+++ b/scheduling/prefix-index/src/eventPrefixIndex.ts
@@ -1,10 +1,10 @@
 import { EntriesPrefixIndex } from './entriesPrefixIndex.js'
 import { type RemovalPage } from './prefixIndex.js'
 
-/** Applies every removal event as it comes. After a gap it starts over for that engine. */
+/** Applies removal events when they are received. A gap in the events clears the engine's entries. */
 export class EventPrefixIndex extends EntriesPrefixIndex {
-  noteRemovals (engine: string, page: RemovalPage): void {
-    if (page.afterGap) this.forgetEngine(engine)
+  recordRemovals (engine: string, page: RemovalPage): void {
+    if (page.afterGap) this.removeEngine(engine)
     const entries = this.entriesOf(engine)
     page.removedDigests.forEach((digest) => entries.remove(digest))
   }
--- a/scheduling/prefix-index/src/noPrefixIndex.ts
+++ b/scheduling/prefix-index/src/noPrefixIndex.ts
@@ -1,6 +1,6 @@
 import { PrefixIndex } from './prefixIndex.js'
 
-/** Knows nothing: the baseline without prefix locality. */
+/** Keeps no entries: the baseline without prefix locality. */
 export class NoPrefixIndex extends PrefixIndex {
   noteSent (): void {}
 
@@ -8,9 +8,9 @@
     return 0
   }
 
-  noteRemovals (): void {}
+  recordRemovals (): void {}
 
-  forgetEngine (): void {}
+  removeEngine (): void {}
 
   get size (): number {
     return 0
--- a/scheduling/prefix-index/src/timeLimitPrefixIndex.ts
+++ b/scheduling/prefix-index/src/timeLimitPrefixIndex.ts
@@ -1,6 +1,6 @@
 import { EntriesPrefixIndex } from './entriesPrefixIndex.js'
 
-/** Takes a prefix for cached for a fixed time after it was sent. */
+/** Assumes that a prefix stays cached for a fixed time after it was sent. */
 export class TimeLimitPrefixIndex extends EntriesPrefixIndex {
   readonly #lifeMs: number
 
@@ -9,7 +9,7 @@
     this.#lifeMs = lifeMs
   }
 
-  noteRemovals (): void {}
+  recordRemovals (): void {}
 
   protected isProbablyCached (_engine: string, _digest: string, sentAtMs: number, nowMs: number): boolean {
     return nowMs - sentAtMs <= this.#lifeMs
--- a/scheduling/scheduler/src/quantileEstimator.ts
+++ b/scheduling/scheduler/src/quantileEstimator.ts
@@ -1,5 +1,5 @@
 export interface QuantileEstimatorOptions {
-  /** Part of the values that shall be below the estimate. */
+  /** Share of the samples that should be below the estimate. */
   quantile: number
   firstMs: number
   minMs: number
@@ -8,7 +8,7 @@
 
 const STEP_MS = 2
 
-/** Follows a quantile of a stream of durations with one number: up after values above it, down a little after those below. */
+/** Tracks a quantile of a stream of durations: a step up after each sample above the estimate, a step down after each below, weighted by the quantile. */
 export class QuantileEstimator {
   readonly #opts: QuantileEstimatorOptions
   #valueMs: number
@@ -22,9 +22,9 @@
     return this.#valueMs
   }
 
-  learn (sampleMs: number): void {
+  observe (sampleMs: number): void {
     const { quantile, minMs, maxMs } = this.#opts
-    const moved = this.#valueMs + STEP_MS * (sampleMs > this.#valueMs ? quantile : quantile - 1)
-    this.#valueMs = Math.min(maxMs, Math.max(minMs, moved))
+    const adjusted = this.#valueMs + STEP_MS * (sampleMs > this.#valueMs ? quantile : quantile - 1)
+    this.#valueMs = Math.min(maxMs, Math.max(minMs, adjusted))
   }
 }
