--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -173,7 +173,7 @@
   {
     name: 'a scheduler places no more than engines take',
     file: 'scheduling/scheduler/src/shardScheduler.ts',
-    find: 'this.#limits.notePlaced([prefill.name, decode.name])',
+    find: 'this.#limits.recordPlacement([prefill.name, decode.name])',
     replace: '',
     tests: [ENGINE_LIMITS],
   },
@@ -376,7 +376,7 @@
   {
     name: 'earlier schedulers are told when a placement ends',
     file: 'scheduling/scheduler-placer/src/schedulerPlacer.ts',
-    find: '        this.#releaseEarlier(live)',
+    find: '        this.#releaseAtPreviousSchedulers(live)',
     replace: '',
     tests: ['scheduling/scheduler-placer/test.lib/schedulerPlacer.js'],
   },
@@ -439,15 +439,15 @@
   {
     name: 'what would be late is refused at once',
     file: 'scheduling/scheduler/src/decideAdmission.ts',
-    find: 'if (leastMs > usefulLeftMs) return',
-    replace: 'if (leastMs > usefulLeftMs + 60_000) return',
+    find: 'if (minTtftMs > usefulLeftMs) return',
+    replace: 'if (minTtftMs > usefulLeftMs + 60_000) return',
     tests: [SCHEDULER],
   },
   {
     name: 'a prefill starts only with a decode place',
     file: 'scheduling/scheduler/src/placementEstimator.ts',
-    find: 'return free.places >= 1 && free.kvBytes >= kvBytes',
-    replace: 'return free.places > -1000 && kvBytes > -1',
+    find: 'return free.slots >= 1 && free.kvBytes >= kvBytes',
+    replace: 'return free.slots > -1000 && kvBytes > -1',
     tests: [SCHEDULER],
   },
   {
@@ -495,7 +495,7 @@
   {
     name: 'a client over its share goes behind the others',
     file: 'scheduling/scheduler/src/placementChooser.ts',
-    find: 'this.#shares.isAhead(waiting.request.client, nowMs) ? 1 : 0',
+    find: 'this.#shares.isOverShare(waiting.request.client, nowMs) ? 1 : 0',
     replace: '0',
     tests: [SCHEDULER],
   },
