--- a/membership/limits/src/evenShareLimiter.ts
+++ b/membership/limits/src/evenShareLimiter.ts
@@ -1,25 +1,25 @@
-import { LimitBook, type LimitBookOptions } from './limitBook.js'
+import { TokenBucketStore, type TokenBucketStoreOptions } from './tokenBucketStore.js'
 import { type LimitedCost, SharedLimiter } from './sharedLimiter.js'
 
-/** Each box has its part of each limit and asks nobody. */
+/** Gives each box an equal share of each limit, without coordination. */
 export class EvenShareLimiter extends SharedLimiter {
-  readonly #book: LimitBook
+  readonly #buckets: TokenBucketStore
 
-  constructor (opts: LimitBookOptions) {
+  constructor (opts: TokenBucketStoreOptions) {
     super()
-    this.#book = new LimitBook(opts)
+    this.#buckets = new TokenBucketStore(opts)
   }
 
   async take ({ name, cost }: LimitedCost): Promise<number> {
-    return this.#book.take(name, cost)
+    return this.#buckets.take(name, cost)
   }
 
   giveBack ({ name, cost }: LimitedCost): void {
-    this.#book.giveBack(name, cost)
+    this.#buckets.giveBack(name, cost)
   }
 
-  /** The next cost is taken as if it were the first. */
+  /** Removes the token bucket of a limit; the next cost creates it anew. */
   forget (name: string): void {
-    this.#book.forget(name)
+    this.#buckets.forget(name)
   }
 }
--- a/membership/limits/src/limitMessages.ts
+++ b/membership/limits/src/limitMessages.ts
@@ -1,14 +1,14 @@
 import { type PeerMessage } from '@reelspan/core.messages'
 import { type LimitedCost } from './sharedLimiter.js'
 
-/** How boxes speak of limits of one kind. */
+/** Builds and reads the peer messages for limits of one kind. */
 export abstract class LimitMessages {
-  /** Asks the home to take a cost. */
-  abstract take (taken: LimitedCost): PeerMessage
+  /** Builds the request to the coordinator to acquire a cost. */
+  abstract take (charge: LimitedCost): PeerMessage
 
-  /** The time until the cost could be taken, 0 when it is; nothing if the message is no such answer. */
+  /** Returns 0 if the cost was acquired, otherwise the time until it can be; undefined if the message is not such an answer. */
   abstract waitMsIn (answer: PeerMessage): number | undefined
 
-  /** Tells the home that what it took was not used. */
-  abstract giveBack (taken: LimitedCost): PeerMessage
+  /** Builds the notification to the coordinator that an acquired cost was not used. */
+  abstract giveBack (charge: LimitedCost): PeerMessage
 }
--- a/membership/limits/src/sharedLimiter.ts
+++ b/membership/limits/src/sharedLimiter.ts
@@ -1,16 +1,16 @@
-/** What a request takes from a limit. */
+/** The cost of one request to a limit. */
 export interface LimitedCost {
-  /** Whose limit it is. */
+  /** Name of the limit's holder, such as an account or upstream. */
   name: string
-  /** In units of the limit. */
+  /** Amount, in units of the limit. */
   cost: number
 }
 
-/** Keeps limits over all boxes. */
+/** Enforces limits that apply to all boxes together. */
 export abstract class SharedLimiter {
-  /** Resolves with 0 when the cost is taken, else with the time until it could be. */
-  abstract take (taken: LimitedCost): Promise<number>
+  /** Acquires a cost and returns 0, or returns the time until it can be acquired. */
+  abstract take (charge: LimitedCost): Promise<number>
 
-  /** The request has not run and will not. */
-  abstract giveBack (taken: LimitedCost): void
+  /** Releases the cost of a request that has not run and will not. */
+  abstract giveBack (charge: LimitedCost): void
 }
--- a/membership/prober/src/prober.ts
+++ b/membership/prober/src/prober.ts
@@ -3,86 +3,86 @@
 import { Collection, type Member, MemberHealth, type MessageOf, MessageType, type PeerLink, PeerLinkError, type PeerMessage, type PlatformAnswering } from '@reelspan/core.messages'
 import { type MembershipView } from '@reelspan/membership.view'
 import { HeartbeatContent } from './heartbeatContent.js'
-import { LostTime } from './lostTime.js'
+import { SuspensionDetector } from './suspensionDetector.js'
 import { RevisionAnnouncer } from './revisionAnnouncer.js'
 import { watchedMembers } from './watchedMembers.js'
 
-/** Digests of the news that a box knows, by kind. Nothing for a kind of which it knows none. */
-export type NewsDigests = Pick<MessageOf<MessageType.Heartbeat>, 'runsDigest' | 'upstreamStatesDigest'>
+/** Digests of the updates that a box knows, by kind. Undefined for a kind without updates. */
+export type UpdateDigests = Pick<MessageOf<MessageType.Heartbeat>, 'runsDigest' | 'upstreamStatesDigest'>
 
 export interface ProberOptions {
   clock: Clock
   random: Random
   link: PeerLink
   view: MembershipView
-  /** Addresses of boxes that the platform lists. */
+  /** Addresses of the boxes in the platform's list. */
   listedAddresses: () => readonly string[]
   revisions: () => Record<Collection, number>
   inFlight: () => number
-  /** What this box knows of the platform's answering; peers are told. */
+  /** The platform's availability as known to this box; sent to peers. */
   platformAnswering: () => PlatformAnswering | undefined
-  /** What a peer knows of it. */
-  onPlatformAnswering: (told: PlatformAnswering) => void
-  /** A peer reported its revisions. */
+  /** Called with the platform's availability that a peer reported. */
+  onPlatformAnswering: (reported: PlatformAnswering) => void
+  /** Called when a peer reports its revisions. */
   onPeerRevisions: (address: string, revisions: Record<Collection, number>) => void
-  /** Digests of the news that this box knows. */
-  newsDigests?: () => NewsDigests
-  /** A peer named the digests of what it knows. */
-  onPeerNewsDigests?: (address: string, digests: NewsDigests) => void
-  /** What this box can prove of its configuration; whoever asks is told. */
+  /** Digests of the updates that this box knows. */
+  newsDigests?: () => UpdateDigests
+  /** Called when a peer reports the digests of its updates. */
+  onPeerNewsDigests?: (address: string, digests: UpdateDigests) => void
+  /** The freshness proof of this box's configuration; included in answers to heartbeats. */
   proof?: () => ToldProof | undefined
-  /** What a peer could prove that was asked at `askedAtMs`. */
+  /** Called with the freshness proof of a peer that was asked at `askedAtMs`. */
   onPeerProof?: (proof: ToldProof, askedAtMs: number) => void
   probePeriodMs: number
   probeTimeoutMs: number
-  /** Members that each box watches. */
+  /** Number of members that each box watches. */
   watchCount: number
-  /** A member that stayed silent for this long is taken for gone. Long, since a cut between regions looks the same. */
+  /** A member that has been suspect for longer than this is declared gone. Long, because a network partition between regions looks the same. */
   silentGoneMs: number
-  /** Told of a task that a fault of the program ended. */
+  /** Called when a task fails with an unexpected error. */
   onTaskError?: TaskErrorListener
 }
 
 const MAX_INDIRECT_PROBES = 2
-/** One round in this many also probes a listed box that is not believed live. */
-const REJOIN_EVERY_ROUNDS = 4
-/** Boxes that greet a suspected member in one round, on average, however many there are: enough for one of them to find it soon. */
-const GREETERS_PER_SUSPECT = 4
-/** Suspected members that one round greets at most, once one of them has answered: a cut that heals gives many back at once. */
-const MAX_SUSPECTS_GREETED = 15
+/** One round in this many also contacts a listed box that is not known to be live. */
+const REJOIN_PERIOD_ROUNDS = 4
+/** Boxes that contact a suspect member in one round, on average, independently of the fleet's size: enough to detect its recovery soon. */
+const CONTACTS_PER_SUSPECT = 4
+/** Maximum number of suspect members contacted in one round after one of them answered: many recover together when a partition ends. */
+const MAX_SUSPECTS_CONTACTED = 15
 /**
- * A box that knows of no other tries anew after this: boxes that start together are up within some
- * hundred ms of each other, and until they meet each one schedules alone (five did for 2 s, and
- * engines refused one in four of what was placed).
+ * Retry period of a box that knows no peers. Boxes that start together are up within a few hundred ms of
+ * each other, and each schedules independently until they have met: five boxes that did so for 2 s had
+ * one in four of their placements refused by engines.
  */
-const ALONE_PERIOD_MS = 100
-/** From then on it is alone, and the usual rounds look for others. */
-const ALONE_TRIES = 100
-/** Boxes that one that is alone greets at a time. */
-const ALONE_GREETED = 3
+const ISOLATED_PERIOD_MS = 100
+/** After this many attempts only the regular rounds look for peers. */
+const ISOLATED_ATTEMPTS = 100
+/** Boxes that an isolated box contacts in one attempt. */
+const ISOLATED_CONTACTS = 3
 /**
- * Probe timeouts for which one that is alone waits for a box to answer its greeting. Where hundreds start together, all
- * greet the same few, which take longer than for a probe to answer them: greeted anew before that, they would never be done.
+ * Timeout of an isolated box's heartbeats, in probe timeouts. When hundreds of boxes start together, all contact the
+ * same few, which then take longer than a probe timeout to answer; retries before that would overload them permanently.
  */
-const ALONE_PATIENCE = 4
-/** News has had this many rounds to spread before views are compared. */
-const COMPARE_EVERY_ROUNDS = 4
+const ISOLATED_TIMEOUT_FACTOR = 4
+/** Minimum number of rounds between two comparisons of views, so that updates have time to spread. */
+const COMPARE_PERIOD_ROUNDS = 4
 
 interface HeartbeatOptions {
-  /** Whoever runs there now answers without. */
+  /** If omitted, any incarnation at the address answers. */
   expectedIncarnation?: string
   timeoutMs?: number
 }
 
-/** Learns which members live, and tells. Its cost for a box does not grow with the fleet. */
+/** Detects which members are alive by heartbeats and probes, and spreads changes by gossip. Its cost per box does not grow with the fleet. */
 export class Prober {
   readonly #opts: ProberOptions
   readonly #tasks: TaskGroup
   readonly #content: HeartbeatContent
   readonly #revisionAnnouncer: RevisionAnnouncer
-  #ringOf?: readonly Member[]
-  #watchedOfRing: readonly Member[] = []
-  readonly #lostTime: LostTime
+  #ringMembers?: readonly Member[]
+  #ringWatched: readonly Member[] = []
+  readonly #suspensionDetector: SuspensionDetector
   #round = 0
   #pulledInRound = -1
   #lastMajorityContactMs: number
@@ -90,7 +90,7 @@
   constructor (opts: ProberOptions) {
     this.#opts = opts
     this.#tasks = new TaskGroup(opts.clock, opts.onTaskError)
-    this.#lostTime = new LostTime(opts.clock)
+    this.#suspensionDetector = new SuspensionDetector(opts.clock)
     this.#content = new HeartbeatContent(opts, {
       onReported: (incarnation, revisions) => this.#revisionAnnouncer.recordReported(incarnation, revisions),
       onGone: (incarnation) => this.#forget(incarnation),
@@ -100,81 +100,81 @@
       probePeriodMs: opts.probePeriodMs,
       revisions: opts.revisions,
       watched: () => this.#watched(),
-      announce: ({ peerAddress }) => this.#greet(peerAddress),
+      announce: ({ peerAddress }) => this.#contact(peerAddress),
       signal: this.#tasks.signal,
     })
     this.#lastMajorityContactMs = opts.clock.nowMs()
   }
 
-  /** Requests in flight at a member, as it last said. */
+  /** Requests in flight at a member, as it last reported. */
   loadOf (incarnation: string): number | undefined {
     return this.#content.loadOf(incarnation)
   }
 
   /**
-   * When the last round began that most of the watched members answered, on this box's clock. Not when
-   * they had answered: a box that was paused in between reads answers from before its pause.
+   * Start time, by this box's clock, of the last round that most of the watched members answered. The start
+   * is used rather than the end because a box that was paused in between reads answers sent before its pause.
    */
   get lastMajorityContactMs (): number {
     return this.#lastMajorityContactMs
   }
 
-  /** Meets the given boxes and returns once each has answered or failed. */
+  /** Sends heartbeats to the given boxes and returns once each has answered or failed. */
   async join (addresses: readonly string[]): Promise<void> {
-    await Promise.all(addresses.map((address) => this.#greet(address)))
+    await Promise.all(addresses.map((address) => this.#contact(address)))
   }
 
   start (): void {
     this.#tasks.repeat(() => this.#probeRound(), { periodMs: this.#opts.probePeriodMs })
-    // Beside the rounds, which must not wait for those that do not answer.
-    this.#tasks.repeat(() => this.#greetSuspected(), { periodMs: this.#opts.probePeriodMs })
-    this.#tasks.run(() => this.#passOnNews())
-    this.#tasks.run(() => this.#greetWhileAlone())
+    // Runs separately, so that probe rounds do not wait for members that do not answer.
+    this.#tasks.repeat(() => this.#contactSuspected(), { periodMs: this.#opts.probePeriodMs })
+    this.#tasks.run(() => this.#forwardUpdates())
+    this.#tasks.run(() => this.#contactWhileIsolated())
   }
 
   async stop (): Promise<void> {
     await this.#tasks.stop()
   }
 
-  /** Sends own state to the watched members at once, for a change that should not wait for the next round. */
+  /** Sends heartbeats to the watched members immediately, for a change that should not wait for the next round. */
   async tellNow (): Promise<void> {
-    // The link tells of a failure; the next round probes again and draws the consequence.
+    // The link logs a failure; the next round probes again and handles it.
     await Promise.all(this.#watched().map((member) => this.#heartbeat(member.peerAddress).catch(() => {})))
   }
 
-  /** Sends the revisions in force here to those watched members that are not known to have them: at once, or together with others that follow soon. */
+  /** Sends the revisions in force here to the watched members that have not reported them: immediately, or together with others that follow soon. */
   async announceRevisionsSoon (): Promise<void> {
     await this.#revisionAnnouncer.announceSoon()
   }
 
   /**
-   * Whether time has passed for the watched members that this box's clock left out, half of
-   * `durationMs` or more. Where none of them answers, nothing speaks against it.
+   * Whether this box was suspended without its clock counting the time, for at least half of `durationMs`
+   * by the clocks of the watched members. Returns true if none of them answers, since that does not rule it out.
    */
   async hasLostTime (durationMs: number): Promise<boolean> {
     const askedAtMs = this.#opts.clock.nowMs()
-    const answered = await Promise.all(this.#watched().map(({ peerAddress }) => this.#greet(peerAddress)))
-    return answered.every((one) => !one) || this.#lostTime.foundSince(askedAtMs) >= durationMs / 2
+    const answered = await Promise.all(this.#watched().map(({ peerAddress }) => this.#contact(peerAddress)))
+    return answered.every((contacted) => !contacted) || this.#suspensionDetector.suspendedMsSince(askedAtMs) >= durationMs / 2
   }
 
-  /** Asks some member for its state, and with it for its proof. */
+  /** Sends a heartbeat to a random one of the members. Its answer carries its freshness proof. */
   async askAnyone (members: readonly Member[]): Promise<void> {
     const { random, view } = this.#opts
     const others = members.filter(({ incarnation }) => incarnation !== view.self.incarnation)
-    await Promise.all(random.sample(others, 1).map(({ peerAddress }) => this.#greet(peerAddress)))
+    await Promise.all(random.sample(others, 1).map(({ peerAddress }) => this.#contact(peerAddress)))
   }
 
-  /** Peer addresses of the members that this box watches. */
+  /** Peer addresses of the watched members. */
   watchedAddresses (): string[] {
     return this.#watched().map(({ peerAddress }) => peerAddress)
   }
 
-  /** Answers a probe message of a peer, or returns nothing when the message is none. */
+  /** Answers a membership message of a peer. Returns undefined for any other message. */
   async answer (message: PeerMessage): Promise<PeerMessage | undefined> {
     switch (message.type) {
       case MessageType.Heartbeat:
-        this.#content.take(message)
-        return { type: MessageType.HeartbeatAck, ...this.#content.own(message.self, message.news), heardAgoMs: this.#lostTime.noteHeard(message.self.incarnation), proof: this.#opts.proof?.() }
+        this.#content.receive(message)
+        return { type: MessageType.HeartbeatAck, ...this.#content.compose(message.self, message.news), heardAgoMs: this.#suspensionDetector.recordReceived(message.self.incarnation), proof: this.#opts.proof?.() }
       case MessageType.ProbeFor:
         return { type: MessageType.ProbeResult, member: await this.#probeFor(message) }
       case MessageType.MembersPull:
@@ -189,28 +189,28 @@
     this.#round++
     const askedAtMs = clock.nowMs()
     const watched = this.#watched()
-    const rejoin = this.#round % REJOIN_EVERY_ROUNDS === 0 ? this.#missingAddresses(1) : []
-    const unsure = this.#contestedAddresses().slice(0, 1)
+    const rejoin = this.#round % REJOIN_PERIOD_ROUNDS === 0 ? this.#notLiveAddresses(1) : []
+    const contested = this.#contestedAddresses().slice(0, 1)
     const [answers] = await Promise.all([
       Promise.all(watched.map((member) => this.#probe(member))),
-      ...[...rejoin, ...unsure].map((address) => this.#greet(address)),
+      ...[...rejoin, ...contested].map((address) => this.#contact(address)),
     ])
     const nowMs = clock.nowMs()
     if (2 * answers.filter((answered) => answered).length > watched.length) this.#lastMajorityContactMs = askedAtMs
     view.suspectedLongerThan(silentGoneMs, nowMs).forEach(({ incarnation }) => view.declareGone(incarnation, nowMs))
-    view.forgetOld(nowMs)
+    view.removeExpired(nowMs)
   }
 
-  /** The ring is laid anew when a member has changed; with 195 of them that takes as many hashes and a sort. */
+  /** The ring is recomputed only when a member has changed, because it takes a hash per member (195 in a large fleet) and a sort. */
   #watched (): readonly Member[] {
     const { view, watchCount } = this.#opts
     const live = view.live()
-    if (live !== this.#ringOf) this.#watchedOfRing = watchedMembers(view.self, live, watchCount)
-    this.#ringOf = live
-    return this.#watchedOfRing
+    if (live !== this.#ringMembers) this.#ringWatched = watchedMembers(view.self, live, watchCount)
+    this.#ringMembers = live
+    return this.#ringWatched
   }
 
-  /** Resolves with whether the member itself answered. */
+  /** Returns whether the member itself answered. */
   async #probe (member: Member): Promise<boolean> {
     const { clock, view } = this.#opts
     const sentAtMs = clock.nowMs()
@@ -218,18 +218,18 @@
       await this.#heartbeat(member.peerAddress, { expectedIncarnation: member.incarnation })
       return true
     } catch (thrown) {
-      // Sleeping through the wait ourselves (a pause) proves nothing about the other side.
-      const overslept = clock.nowMs() - sentAtMs > 3 * this.#opts.probeTimeoutMs
+      // If this process was paused during the wait, the timeout proves nothing about the member.
+      const wasPaused = clock.nowMs() - sentAtMs > 3 * this.#opts.probeTimeoutMs
       if (isRefusal(thrown)) await this.#confirmRefusal(member)
-      else if (!overslept && !await this.#askOthers(member)) view.suspect(member.incarnation, clock.nowMs())
+      else if (!wasPaused && !await this.#probeIndirectly(member)) view.suspect(member.incarnation, clock.nowMs())
       return false
     }
   }
 
   /**
-   * A refused connection means that no process listens at the address, though
-   * its machine runs: the member is gone. A sleeping process would not refuse.
-   * It is asked twice, since one refusal may be a passing fault on the way.
+   * A refused connection means that the machine runs but no process listens at the
+   * address, so that the member is gone; a suspended process would not refuse. It is
+   * probed twice, because a single refusal may be a transient network fault.
    */
   async #confirmRefusal (member: Member): Promise<void> {
     const { clock, view, probeTimeoutMs } = this.#opts
@@ -239,125 +239,125 @@
     if (isRefusal(again)) view.declareGone(member.incarnation, clock.nowMs())
   }
 
-  async #askOthers (member: Member): Promise<boolean> {
+  async #probeIndirectly (member: Member): Promise<boolean> {
     const { clock, random, link, view, probeTimeoutMs } = this.#opts
     const helpers = random.sample(view.live().filter(({ incarnation }) => incarnation !== member.incarnation && incarnation !== view.self.incarnation), MAX_INDIRECT_PROBES)
     const results = await Promise.all(helpers.map(async (helper) => {
       const question = { type: MessageType.ProbeFor, address: member.peerAddress, incarnation: member.incarnation } as const
-      // A helper that does not answer, of which the link tells, has not found the member either.
+      // A helper that does not answer counts as one that did not reach the member; the link logs the failure.
       const answer = await link.call(helper.peerAddress, question, { timeoutMs: 2 * probeTimeoutMs, repeatable: true }).catch(() => undefined)
       return answer?.type === MessageType.ProbeResult ? answer.member : undefined
     }))
     const found = results.filter((result) => result !== undefined)
-    found.forEach((result) => this.#meet(member.peerAddress, result, clock.nowMs()))
+    found.forEach((result) => this.#declareOthersGone(member.peerAddress, result, clock.nowMs()))
     return found.some(({ incarnation }) => incarnation === member.incarnation)
   }
 
   async #probeFor (question: MessageOf<MessageType.ProbeFor>): Promise<Member | undefined> {
-    // That the member does not answer is what the peer wanted to know; the link tells of it.
+    // A member that does not answer is a result for the asking peer; the link logs the failure.
     const answer = await this.#heartbeat(question.address, { expectedIncarnation: question.incarnation }).catch(() => undefined)
     return answer?.self
   }
 
-  /** Soon after its start, a box may be the first one that is up. */
-  async #greetWhileAlone (): Promise<void> {
+  /** Contacts listed boxes at short intervals while this box knows no peers, because they may start a little later. */
+  async #contactWhileIsolated (): Promise<void> {
     const { clock, probeTimeoutMs, view } = this.#opts
-    const greeted = new Set<string>()
-    for (let tries = 0; tries < ALONE_TRIES && view.live().length <= 1 && !this.#tasks.stopped; tries++) {
-      // What is silent is waited for by its own greeting, and not by the next one.
-      this.#missingAddresses(ALONE_GREETED).filter((address) => !greeted.has(address)).forEach((address) => {
-        greeted.add(address)
-        void this.#greet(address, ALONE_PATIENCE * probeTimeoutMs).finally(() => greeted.delete(address))
+    const contacted = new Set<string>()
+    for (let attempts = 0; attempts < ISOLATED_ATTEMPTS && view.live().length <= 1 && !this.#tasks.stopped; attempts++) {
+      // An address that has not answered yet is not contacted again until its heartbeat times out.
+      this.#notLiveAddresses(ISOLATED_CONTACTS).filter((address) => !contacted.has(address)).forEach((address) => {
+        contacted.add(address)
+        void this.#contact(address, ISOLATED_TIMEOUT_FACTOR * probeTimeoutMs).finally(() => contacted.delete(address))
       })
-      await clock.sleep(ALONE_PERIOD_MS, { signal: this.#tasks.signal })
+      await clock.sleep(ISOLATED_PERIOD_MS, { signal: this.#tasks.signal })
     }
   }
 
-  /** Greets one suspected member, unless others do, and twice as many more for as long as any of them answers. */
-  async #greetSuspected (): Promise<void> {
+  /** Contacts one random suspect member with a probability that bounds the contacts of all boxes, then twice as many each time while any of them answers. */
+  async #contactSuspected (): Promise<void> {
     const { random, view } = this.#opts
-    const share = GREETERS_PER_SUSPECT * view.suspected().length / view.live().length
+    const share = CONTACTS_PER_SUSPECT * view.suspected().length / view.live().length
     if (random.nextFloat() >= share) return
-    const greeted = new Set<string>()
-    for (let count = 1, answered = true; answered && greeted.size < MAX_SUSPECTS_GREETED; count *= 2) {
-      const left = view.suspected().map(({ peerAddress }) => peerAddress).filter((address) => !greeted.has(address))
+    const contacted = new Set<string>()
+    for (let count = 1, answered = true; answered && contacted.size < MAX_SUSPECTS_CONTACTED; count *= 2) {
+      const left = view.suspected().map(({ peerAddress }) => peerAddress).filter((address) => !contacted.has(address))
       const chosen = random.sample(left, count)
-      chosen.forEach((address) => greeted.add(address))
-      const answers = await Promise.all(chosen.map((address) => this.#greet(address)))
+      chosen.forEach((address) => contacted.add(address))
+      const answers = await Promise.all(chosen.map((address) => this.#contact(address)))
       answered = answers.some((one) => one)
     }
   }
 
-  /** Resolves with whether a box answered. */
-  async #greet (address: string, timeoutMs?: number): Promise<boolean> {
+  /** Returns whether a box answered. */
+  async #contact (address: string, timeoutMs?: number): Promise<boolean> {
     try {
       await this.#heartbeat(address, { timeoutMs })
       return true
     } catch {
-      // The link tells of a failure. Whoever does not answer is believed what it was believed before.
+      // The link logs a failure. The state of a member that does not answer stays as it is.
       return false
     }
   }
 
   async #heartbeat (address: string, { expectedIncarnation, timeoutMs = this.#opts.probeTimeoutMs }: HeartbeatOptions = {}): Promise<MessageOf<MessageType.HeartbeatAck>> {
     const { clock, link, view } = this.#opts
-    const message = { type: MessageType.Heartbeat, ...this.#content.own(view.atAddress(address)), expectedIncarnation } as const
+    const message = { type: MessageType.Heartbeat, ...this.#content.compose(view.atAddress(address)), expectedIncarnation } as const
     const sentAtMs = clock.nowMs()
     const answer = await link.call(address, message, { timeoutMs, repeatable: true })
     if (answer.type !== MessageType.HeartbeatAck) throw new PeerLinkError(`${address} answered a heartbeat with ${answer.type}`, { mayHaveArrived: true })
-    this.#lostTime.noteAnswered(answer.self.incarnation, sentAtMs, answer.heardAgoMs)
-    this.#meet(address, answer.self, clock.nowMs())
-    this.#content.take(answer)
-    // Known only now, and only as old as it was: what a peer tells unasked may have been under way for long.
+    this.#suspensionDetector.recordAnswered(answer.self.incarnation, sentAtMs, answer.heardAgoMs)
+    this.#declareOthersGone(address, answer.self, clock.nowMs())
+    this.#content.receive(answer)
+    // Only proofs in answers count: their age is bounded by the time of the question, whereas an unsolicited message may have been delayed for long.
     if (answer.proof && answer.numbering !== undefined) this.#opts.onPeerProof?.(answer.proof, sentAtMs)
     if (answer.digest !== view.digest) await this.#pullMembers(address)
     return answer
   }
 
-  /** Whoever answers at an address is proof that any other incarnation there is gone. */
-  #meet (address: string, answering: Member, nowMs: number): void {
+  /** Declares all other incarnations at an address gone: an answer proves that its sender replaced them. */
+  #declareOthersGone (address: string, answering: Member, nowMs: number): void {
     const { view } = this.#opts
-    // A late answer of an incarnation that is already known as gone proves nothing about its successor.
+    // A late answer of an incarnation that is already gone proves nothing about its successor.
     if (view.get(answering.incarnation)?.health === MemberHealth.Gone) return
     view.allAtAddress(address)
       .filter(({ incarnation }) => incarnation !== answering.incarnation)
       .forEach(({ incarnation }) => view.declareGone(incarnation, nowMs))
   }
 
-  /** Views that still differ after the news was exchanged are compared part by part, once in a few rounds. */
+  /** Compares views that still differ after an exchange of updates, part by part, at most once in a few rounds. */
   async #pullMembers (address: string): Promise<void> {
     const { link, view, probeTimeoutMs } = this.#opts
     const isFirst = this.#pulledInRound < 0
-    if (!isFirst && this.#round - this.#pulledInRound < COMPARE_EVERY_ROUNDS) return
+    if (!isFirst && this.#round - this.#pulledInRound < COMPARE_PERIOD_ROUNDS) return
     this.#pulledInRound = this.#round
     const state = await link.call(address, { type: MessageType.MembersPull, partDigests: [...view.partDigests] }, { timeoutMs: 4 * probeTimeoutMs, repeatable: true })
     if (state.type !== MessageType.MembersState) return
-    this.#content.mergeCompared(state.members)
+    this.#content.mergePulled(state.members)
   }
 
   #forget (incarnation: string): void {
-    this.#lostTime.forget(incarnation)
+    this.#suspensionDetector.forget(incarnation)
     this.#revisionAnnouncer.forget(incarnation)
   }
 
-  /** Sends news on soon after it came, instead of at the next round. */
-  async #passOnNews (): Promise<void> {
+  /** Forwards updates soon after they arrive, instead of in the next round. */
+  async #forwardUpdates (): Promise<void> {
     const { clock, probePeriodMs } = this.#opts
     while (!this.#tasks.stopped) {
-      await this.#content.waitForNews(this.#tasks.signal)
+      await this.#content.waitForUpdates(this.#tasks.signal)
       await clock.sleep(probePeriodMs / 10, { signal: this.#tasks.signal })
       if (!this.#tasks.stopped) await this.tellNow()
     }
   }
 
-  /** Addresses that two incarnations claim. Asking there shows which one is gone. */
+  /** Addresses that several incarnations claim. A heartbeat there shows which one is alive. */
   #contestedAddresses (): string[] {
     const { view } = this.#opts
     const contested = view.all().filter((member) => member.health !== MemberHealth.Gone && view.atAddress(member.peerAddress) !== member)
     return [...new Set(contested.map(({ peerAddress }) => peerAddress))].filter((address) => address !== view.self.peerAddress)
   }
 
-  #missingAddresses (count: number): string[] {
+  #notLiveAddresses (count: number): string[] {
     const { random, view, listedAddresses } = this.#opts
     const live = new Set(view.live().map(({ peerAddress }) => peerAddress))
     return random.sample(listedAddresses().filter((address) => !live.has(address)), count)
--- a/membership/prober/src/revisionAnnouncer.ts
+++ b/membership/prober/src/revisionAnnouncer.ts
@@ -6,20 +6,20 @@
 export interface RevisionAnnouncerOptions {
   clock: Clock
   probePeriodMs: number
-  /** Those in force here. */
+  /** The revisions in force at this box. */
   revisions: () => Revisions
   watched: () => readonly Member[]
   announce: (member: Member) => Promise<unknown>
   signal: AbortSignal
 }
 
-/** Least time between two announcements, as a part of a probe period: revisions come in series. */
+/** Minimum time between two announcements, as a share of the probe period: revisions arrive in bursts. */
 const ANNOUNCE_PERIOD_SHARE = 0.5
 
-/** Announces new revisions between the rounds to those watched members that are not known to have them. */
+/** Announces new revisions between probe rounds to the watched members that have not reported them yet. */
 export class RevisionAnnouncer {
   readonly #opts: RevisionAnnouncerOptions
-  /** Revisions that members last reported. */
+  /** Last reported revisions of each member, by incarnation. */
   readonly #reported = new Map<string, Revisions>()
   #announcedAtMs = Number.NEGATIVE_INFINITY
   #announcementPending = false
@@ -36,7 +36,7 @@
     this.#reported.delete(incarnation)
   }
 
-  /** Announces at once, or together with revisions that follow soon. */
+  /** Announces immediately, or after the minimum interval together with revisions that follow. */
   async announceSoon (): Promise<void> {
     if (this.#announcementPending) return
     const { clock, probePeriodMs, watched, announce, signal } = this.#opts
@@ -49,7 +49,7 @@
     await Promise.all(watched().filter((member) => this.#isBehind(member)).map(announce))
   }
 
-  /** Whether a member has not reported the revisions that are in force here. */
+  /** Whether a member has not yet reported the revisions in force here. */
   #isBehind ({ incarnation }: Member): boolean {
     const here = this.#opts.revisions()
     const there = this.#reported.get(incarnation)
--- a/membership/prober/src/watchedMembers.ts
+++ b/membership/prober/src/watchedMembers.ts
@@ -3,9 +3,9 @@
 
 /**
  * The members that `self` probes: its successors at the ring distances 1, 2, 4,
- * … of a ring ordered by hash. Each box watches `count` others and is watched
- * by as many, whatever the size of the fleet, and the ring's long steps carry
- * news to everyone in a number of hops that grows with its logarithm.
+ * … in a ring ordered by hash. Each box watches `count` others and is watched
+ * by as many, independently of the fleet's size. The long distances spread
+ * updates to all boxes in a number of hops logarithmic in the fleet's size.
  */
 export function watchedMembers (self: Member, members: readonly Member[], count: number): Member[] {
   const ring = members
@@ -18,7 +18,7 @@
   return stepsAround(others, count).map((step) => ring[(ownIndex + step) % ring.length])
 }
 
-/** Ring distances: the nearest, then ever longer ones up to half way round. */
+/** Ring distances that grow geometrically from 1 to half the ring. */
 function stepsAround (others: number, count: number): number[] {
   if (others <= count) return Array.from({ length: others }, (_, i) => i + 1)
   const growth = (others / 2) ** (1 / (count - 1))
--- a/membership/prober/test/__utils__/memberOf.ts
+++ b/membership/prober/test/__utils__/memberOf.ts
@@ -1,6 +1,6 @@
 import { type Member, MemberHealth } from '@reelspan/core.messages'
 
-/** A member that lives, one of many. Its port is its number. */
+/** The live member with the number `i`, which is also its port. */
 export function memberOf (i: number): Member {
   return {
     name: `box-${i}`,
--- a/membership/prober/test/prober.ts
+++ b/membership/prober/test/prober.ts
@@ -8,18 +8,18 @@
 const PROBE_PERIOD_MS = 700
 const PROBE_TIMEOUT_MS = 300
 const FLEET = 690
-/** Members that are greeted by one box out of many in each round, so that each is greeted by a few. */
+/** Probe rounds of one box, over which its contacts of a suspect member are counted. */
 const ROUNDS = 100
 
-/** Members answer at once, but for the silent ones. */
+/** Members answer immediately, except for the unresponsive ones. */
 class FleetLink extends PeerLink {
   readonly heartbeats = new Map<string, number>()
   readonly silent = new Set<string>()
   /** How long members take to answer. */
   answersAfterMs = 0
-  /** The revision of the list that members name. */
+  /** The fleet revision that members report. */
   fleetRevision = 1
-  /** How members number revisions; those of an earlier release do not tell. */
+  /** How members number revisions; undefined for members of an earlier release. */
   numbering: RevisionNumbering | undefined = RevisionNumbering.ByVersionAndEra
   readonly #clock: VirtualClock
 
@@ -49,7 +49,7 @@
   async close (): Promise<void> {}
 }
 
-/** One box of a large fleet that believes of some others that they do not answer. */
+/** Starts one box of a large fleet, with some members suspect in its view. */
 function startProber (suspects: readonly Member[]) {
   const clock = new VirtualClock()
   const view = new MembershipView({ self: memberOf(0), goneMemoryMs: 600_000 })
@@ -58,14 +58,14 @@
   return startWith(clock, view, [])
 }
 
-/** One box that knows of no other, but addresses at which nobody answers yet. */
-function startAlone (listed: readonly Member[], answersAfterMs?: number) {
+/** Starts one box that knows no peers, only listed addresses. Without `answersAfterMs` they do not answer. */
+function startIsolated (listed: readonly Member[], answersAfterMs?: number) {
   const clock = new VirtualClock()
   const view = new MembershipView({ self: memberOf(0), goneMemoryMs: 600_000 })
   return { view, ...startWith(clock, view, listed.map(({ peerAddress }) => peerAddress), answersAfterMs) }
 }
 
-/** @param answersAfterMs how long the listed boxes take to answer; they do not without */
+/** @param answersAfterMs how long the listed boxes take to answer; if omitted, they do not answer */
 function startWith (clock: VirtualClock, view: MembershipView, listedAddresses: readonly string[], answersAfterMs?: number) {
   const link = new FleetLink(clock)
   link.answersAfterMs = answersAfterMs ?? 0
@@ -92,33 +92,33 @@
   return { clock, link, prober, here, reported }
 }
 
-test('a member that does not answer is greeted by a few of many boxes in a round, so that it is not flooded when it wakes', async (t) => {
+test('a suspect member is contacted by only a few of many boxes per round, so that it is not overloaded when it resumes', async (t) => {
   const suspect = memberOf(345)
   const { clock, link, prober } = startProber([suspect])
   link.silent.add(suspect.peerAddress)
   await clock.advance(ROUNDS * (PROBE_PERIOD_MS + PROBE_TIMEOUT_MS))
-  const greetings = link.heartbeats.get(suspect.peerAddress) ?? 0
-  t.true(greetings <= 10, `${greetings} in ${ROUNDS} rounds, of one box in ${FLEET}`)
+  const contacts = link.heartbeats.get(suspect.peerAddress) ?? 0
+  t.true(contacts <= 10, `${contacts} in ${ROUNDS} rounds, of one box in ${FLEET}`)
   void prober.stop()
 })
 
-test('members that do not answer do not make it later that a box notices its contact with the others', async (t) => {
+test('members that do not answer do not delay the detection of contact with the majority', async (t) => {
   const suspects = Array.from({ length: FLEET / 3 }, (_, i) => memberOf(3 * i + 1))
   const { clock, link, prober } = startProber(suspects)
-  // Some are back and some are not: each wave of greetings finds one that answers and waits for one that does not.
+  // Half of them have recovered, so that each batch of contacts includes members that answer and members that do not.
   suspects.filter((_, i) => i % 2 === 0).forEach(({ peerAddress }) => link.silent.add(peerAddress))
   let longestMs = 0
   for (let elapsedMs = 0; elapsedMs < 20_000; elapsedMs += 50) {
     await clock.advance(50)
     longestMs = Math.max(longestMs, clock.nowMs() - prober.lastMajorityContactMs)
   }
-  t.true(longestMs <= 2 * PROBE_PERIOD_MS, `${longestMs} ms: after ${2 * PROBE_PERIOD_MS} ms a box counts as alone and watches the platform itself`)
+  t.true(longestMs <= 2 * PROBE_PERIOD_MS, `${longestMs} ms: after ${2 * PROBE_PERIOD_MS} ms a box counts as isolated and watches the platform itself`)
   void prober.stop()
 })
 
-test('a box that starts before the others meets them soon after they are up', async (t) => {
+test('a box that starts before the others contacts them soon after they are up', async (t) => {
   const seeds = [memberOf(1), memberOf(2), memberOf(3)]
-  const { clock, link, prober, view } = startAlone(seeds)
+  const { clock, link, prober, view } = startIsolated(seeds)
   await clock.advance(1000)
   link.silent.delete(seeds[2].peerAddress)
   await clock.advance(200)
@@ -126,9 +126,9 @@
   void prober.stop()
 })
 
-test('a box that stays alone greets where others may be no more often than usual after a while', async (t) => {
+test('a box that stays isolated reduces its contacts to the regular rate after a while', async (t) => {
   const seed = memberOf(1)
-  const { clock, link, prober } = startAlone([seed])
+  const { clock, link, prober } = startIsolated([seed])
   await clock.advance(10_000)
   const soon = link.heartbeats.get(seed.peerAddress) ?? 0
   t.true(soon <= 105, `${soon} in 10 s`)
@@ -142,9 +142,9 @@
   return [...link.heartbeats.values()].reduce((sum, count) => sum + count, 0)
 }
 
-test('a revision after a quiet time is told of at once, to members that are not known to have it', async (t) => {
+test('a revision after an idle period is announced immediately to members that have not reported it', async (t) => {
   const { clock, link, prober, here } = startProber([])
-  // Right after a round, which told nothing of it.
+  // Right after a round, which did not include it.
   await clock.advance(PROBE_PERIOD_MS * 1.05)
   const before = heartbeatsSent(link)
   here.fleetRevision = 2
@@ -153,13 +153,13 @@
   t.is(heartbeatsSent(link) - before, 4)
   link.fleetRevision = 2
   await clock.advance(PROBE_PERIOD_MS * 1.9)
-  const informed = heartbeatsSent(link)
+  const afterReports = heartbeatsSent(link)
   await prober.announceRevisionsSoon()
-  t.is(heartbeatsSent(link), informed, 'all have named it')
+  t.is(heartbeatsSent(link), afterReports, 'all members have reported it')
   await prober.stop()
 })
 
-test('revisions of boxes of an earlier release, which number them otherwise, are taken for newer ones', async (t) => {
+test('revisions reported by boxes of an earlier release, which number them differently, are ignored', async (t) => {
   const { clock, link, prober, reported } = startProber([])
   link.numbering = undefined
   link.fleetRevision = 100_000
@@ -172,7 +172,7 @@
   await prober.stop()
 })
 
-test('revisions in quick succession are told of together', async (t) => {
+test('revisions in quick succession are announced together', async (t) => {
   const { clock, link, prober, here } = startProber([])
   await clock.advance(PROBE_PERIOD_MS)
   const before = heartbeatsSent(link)
@@ -181,28 +181,28 @@
     void prober.announceRevisionsSoon()
     await clock.advance(100)
   }
-  const told = heartbeatsSent(link) - before
+  const sent = heartbeatsSent(link) - before
   const rounds = 7000 / PROBE_PERIOD_MS
-  t.true(told >= 4 * rounds && told <= 3 * 4 * (rounds + 1), `${told} messages`)
+  t.true(sent >= 4 * rounds && sent <= 3 * 4 * (rounds + 1), `${sent} messages`)
   await prober.stop()
 })
 
-// Where three hundred boxes were started at the same moment, they were not serving within half a minute: all greeted
-// the same three, which took longer than for a probe to answer each, and were greeted anew ten times a second.
-test('boxes that are slow to answer are met, and not greeted anew before they have', async (t) => {
-  const { clock, link, prober, view } = startAlone([memberOf(1), memberOf(2), memberOf(3)], 3 * PROBE_TIMEOUT_MS)
+// Guards against an overload at the start of three hundred boxes, which were not serving within half a minute: all
+// contacted the same three boxes, which took longer than a probe timeout to answer, and retried ten times a second.
+test('boxes that are slow to answer are joined, and not contacted again before they have answered', async (t) => {
+  const { clock, link, prober, view } = startIsolated([memberOf(1), memberOf(2), memberOf(3)], 3 * PROBE_TIMEOUT_MS)
   await clock.advance(3.5 * PROBE_TIMEOUT_MS)
   t.is(view.live().length, 4)
   const most = Math.max(...link.heartbeats.values())
-  t.true(most <= 2, `${most} greetings of one box`)
+  t.true(most <= 2, `${most} contacts of one box`)
   void prober.stop()
 })
 
-test('an answer does not tell back what its question told, unless more is known here', async (t) => {
-  const { clock, prober, view } = startAlone([], 0)
-  const told = [memberOf(2), memberOf(3)]
+test('an answer does not return the updates of its question unless a newer state is known here', async (t) => {
+  const { clock, prober, view } = startIsolated([], 0)
+  const received = [memberOf(2), memberOf(3)]
   view.merge({ ...memberOf(3), version: 1, leaving: true }, clock.nowMs())
-  const question = { type: MessageType.Heartbeat, self: memberOf(1), news: told, digest: 0, revisions: { [Collection.Declarations]: 1, [Collection.Fleet]: 1 }, inFlight: 0 } as const
+  const question = { type: MessageType.Heartbeat, self: memberOf(1), news: received, digest: 0, revisions: { [Collection.Declarations]: 1, [Collection.Fleet]: 1 }, inFlight: 0 } as const
   const answer = await prober.answer({ ...question, news: [...question.news] })
   t.true(answer?.type === MessageType.HeartbeatAck)
   const names = answer?.type === MessageType.HeartbeatAck ? answer.news.map(({ name, leaving }) => [name, leaving]) : []
--- a/membership/prober/test/silentConnection.ts
+++ b/membership/prober/test/unresponsiveConnection.ts
@@ -9,11 +9,11 @@
 import test, { type ExecutionContext } from 'ava'
 
 const PROBE_PERIOD_MS = 700
-/** Longer than in use, so that a busy machine is not taken for a silent peer; a silent connection is found well within it. */
+/** Longer than in production, so that a slow machine is not mistaken for an unresponsive peer; an unresponsive connection is detected well within it. */
 const PROBE_TIMEOUT_MS = 2000
 const ENOUGH_HEARTBEATS = 4
 
-/** A box that others reach through a proxy. */
+/** Starts a box that others reach through a proxy. */
 async function startBox (t: ExecutionContext, name: string, listedAddresses: () => string[]) {
   const clock = new SystemClock()
   const random = new SystemRandom()
@@ -59,21 +59,21 @@
   return { proxy, view, prober, heartbeats }
 }
 
-for (const way of Object.values(Silence)) {
-  test(`a box whose connection to a peer goes silent (${way}) does not doubt the peer`, async (t) => {
+for (const silenceKind of Object.values(Silence)) {
+  test(`a box whose connection to a peer becomes unresponsive (${silenceKind}) does not suspect the peer`, async (t) => {
     const addresses: string[] = []
     const a = await startBox(t, 'a', () => addresses)
     const b = await startBox(t, 'b', () => addresses)
     addresses.push(a.proxy.address, b.proxy.address)
     await a.prober.join([b.proxy.address])
-    const doubted: string[] = []
+    const suspectedStates: string[] = []
     a.view.onChange(({ name, health }) => {
-      if (name === 'b' && health !== MemberHealth.Alive) doubted.push(health)
+      if (name === 'b' && health !== MemberHealth.Alive) suspectedStates.push(health)
     })
     a.prober.start()
-    b.proxy.silenceOpen(way)
+    b.proxy.silenceOpen(silenceKind)
     const enough = b.heartbeats.count + ENOUGH_HEARTBEATS
     while (b.heartbeats.count < enough) await b.heartbeats.more.wait()
-    t.deepEqual(doubted, [])
+    t.deepEqual(suspectedStates, [])
   })
 }
--- a/membership/prober/test/watchedMembers.ts
+++ b/membership/prober/test/watchedMembers.ts
@@ -7,7 +7,7 @@
   return Array.from({ length: count }, (_, i) => memberOf(i))
 }
 
-/** Most hops that news needs from the first member to any other. */
+/** Maximum number of hops that an update needs from the first member to any other. */
 function hopsToAll (members: Member[]): number {
   const reached = new Set([members[0].incarnation])
   let frontier = [members[0]]
@@ -26,13 +26,13 @@
   t.is(watchedMembers(fleetOf(3)[0], fleetOf(3), 4).length, 2)
 })
 
-test('every box is watched by about as many', (t) => {
+test('every box is watched by the same number of others', (t) => {
   const members = fleetOf(690)
   const watchers = new Map<string, number>()
   members.forEach((member) => watchedMembers(member, members, 4).forEach(({ incarnation }) => watchers.set(incarnation, (watchers.get(incarnation) ?? 0) + 1)))
   t.deepEqual([...new Set(watchers.values())], [4])
 })
 
-test('news reaches 690 boxes in few hops', (t) => {
+test('an update reaches 690 boxes in few hops', (t) => {
   t.true(hopsToAll(fleetOf(690)) <= 20, `${hopsToAll(fleetOf(690))} hops`)
 })
--- a/membership/view/src/membershipView.ts
+++ b/membership/view/src/membershipView.ts
@@ -4,16 +4,16 @@
 
 export interface MembershipViewOptions {
   self: Member
-  /** How long a gone incarnation is remembered. Not shorter than records and request keys live. */
+  /** How long the entry of a gone incarnation is retained. At least as long as records and request keys live. */
   goneMemoryMs: number
 }
 
-/** Parts that a view is compared in. */
-const PARTS = 64
+/** Number of parts of a view that have a digest of their own. */
+const DIGEST_PARTS = 64
 
 interface Entry {
   member: Member
-  /** On this box's clock. */
+  /** Time of the last change, by this box's clock. */
   changedAtMs: number
 }
 
@@ -22,25 +22,25 @@
   live?: readonly Member[]
   suspected?: readonly Member[]
   takingWork?: readonly Member[]
-  /** Those that were not seen to go. */
+  /** Members that are not gone, by peer address. */
   byAddress?: ReadonlyMap<string, readonly Member[]>
 }
 
-/** Told of each member whose entry changed. */
+/** Called with each member whose entry changed. */
 export type MemberListener = (member: Member) => void
 
-/** What one box believes of all box incarnations. Its own entry is changed by itself alone. */
+/** The state of all box incarnations as known to one box. Only the box itself changes its own entry. */
 export class MembershipView {
-  readonly #goneMemoryMs: number
+  readonly #goneRetentionMs: number
   readonly #entries = new Map<string, Entry>()
   readonly #listeners = new Set<MemberListener>()
   #self: Member
-  readonly #partDigests: number[] = Array.from({ length: PARTS }, () => 0)
-  /** Selections of the members, made when they are first asked for after a change: each heartbeat asks for some, over all members. */
+  readonly #partDigests: number[] = Array.from({ length: DIGEST_PARTS }, () => 0)
+  /** Cached lists of members, built on first use after a change, since each heartbeat reads some of them. */
   #selections: Selections = {}
 
   constructor (opts: MembershipViewOptions) {
-    this.#goneMemoryMs = opts.goneMemoryMs
+    this.#goneRetentionMs = opts.goneMemoryMs
     this.#self = opts.self
     this.#put(opts.self, 0)
   }
@@ -49,22 +49,22 @@
     return this.#self
   }
 
-  /** Equal at two boxes whose views are the same. */
+  /** Digest of the whole view; equal at two boxes with the same view. */
   get digest (): number {
     return this.#partDigests.reduce((sum, part) => sum ^ part, 0)
   }
 
-  /** Digests of the view's parts, so that two boxes find where their views differ without sending all of them. */
+  /** Digests of the view's parts. Two boxes compare them to find the differing parts without sending the whole view. */
   get partDigests (): readonly number[] {
     return this.#partDigests
   }
 
-  /** Members of the parts whose digests are not the given ones. */
+  /** Returns the members of all parts whose digests differ from the given ones. */
   differingFrom (partDigests: readonly number[]): Member[] {
     return this.all().filter((member) => this.#partDigests[partOf(member)] !== partDigests[partOf(member)])
   }
 
-  /** Registers a listener. Returns the means to end it. */
+  /** Registers a listener. Returns a function that removes it. */
   onChange (listener: MemberListener): () => void {
     this.#listeners.add(listener)
     return () => this.#listeners.delete(listener)
@@ -74,79 +74,79 @@
     return this.#entries.get(incarnation)?.member
   }
 
-  /** For how long this box has believed what it does of an incarnation. */
+  /** Time since the entry of an incarnation last changed here; 0 if it is unknown. */
   unchangedForMs (incarnation: string, nowMs: number): number {
     const entry = this.#entries.get(incarnation)
     return entry ? nowMs - entry.changedAtMs : 0
   }
 
-  /** All incarnations that are remembered. Like the other selections, the same list until a member changes. */
+  /** All known incarnations. Like the other selections, it returns the same array until a member changes. */
   all (): readonly Member[] {
     this.#selections.all ??= [...this.#entries.values()].map(({ member }) => member)
     return this.#selections.all
   }
 
-  /** Members that are neither suspected nor gone, this box included. */
+  /** Members that are neither suspect nor gone, including this box. */
   live (): readonly Member[] {
     this.#selections.live ??= this.all().filter(({ health }) => health === MemberHealth.Alive)
     return this.#selections.live
   }
 
-  /** Members that did not answer, and were not seen to go. */
+  /** Members that did not answer a probe and are not known to be gone. */
   suspected (): readonly Member[] {
     this.#selections.suspected ??= this.all().filter(({ health }) => health === MemberHealth.Suspect)
     return this.#selections.suspected
   }
 
-  /** Live members that take new work. */
+  /** Live members that accept new work. */
   takingWork (): readonly Member[] {
     this.#selections.takingWork ??= this.live().filter(({ leaving }) => !leaving)
     return this.#selections.takingWork
   }
 
-  /** The incarnation at an address that was not seen to go, if any. */
+  /** The first known incarnation at an address that is not gone, if any. */
   atAddress (peerAddress: string): Member | undefined {
     return this.allAtAddress(peerAddress)[0]
   }
 
-  /** All incarnations at an address that were not seen to go, the one heard of first at the beginning. */
+  /** All incarnations at an address that are not gone, in the order in which they became known. */
   allAtAddress (peerAddress: string): readonly Member[] {
     this.#selections.byAddress ??= groupByAddress(this.all().filter(({ health }) => health !== MemberHealth.Gone))
     return this.#selections.byAddress.get(peerAddress) ?? []
   }
 
   /**
-   * Takes in what another box believes. Returns whether anything changed. Word
-   * that this box is suspected is refuted with a higher version; word that it is
-   * gone is returned to the caller of `merge` through the listener, unrefuted.
+   * Merges a member's state received from another box. Returns whether anything
+   * changed. A suspicion of this box is refuted with a higher version. A report that
+   * this box is gone is not refuted; the listeners are called with it.
    */
-  merge (heard: Member, nowMs: number): boolean {
-    if (heard.incarnation === this.#self.incarnation) return this.#mergeSelf(heard, nowMs)
-    const known = this.get(heard.incarnation)
-    const merged = known ? mergeMember(known, heard) : heard
-    if (known && sameBelief(known, merged)) return false
+  merge (received: Member, nowMs: number): boolean {
+    if (received.incarnation === this.#self.incarnation) return this.#mergeSelf(received, nowMs)
+    const known = this.get(received.incarnation)
+    const merged = known ? mergeMember(known, received) : received
+    if (known && isSameState(known, merged)) return false
     this.#put(merged, nowMs)
     return true
   }
 
-  /** Marks an incarnation as not answering. It may come back by refuting. */
+  /** Marks an incarnation as suspect. The member can refute this. */
   suspect (incarnation: string, nowMs: number): void {
     const member = this.get(incarnation)
     if (member?.health === MemberHealth.Alive) this.merge({ ...member, health: MemberHealth.Suspect }, nowMs)
   }
 
-  /** Declares an incarnation gone for good. Only on proof: another process answers at its address, or it said so. */
+  /** Declares an incarnation permanently gone. Requires proof: another process answers at its address, or the member announced it. */
   declareGone (incarnation: string, nowMs: number): void {
     const member = this.get(incarnation)
     if (member) this.merge({ ...member, health: MemberHealth.Gone }, nowMs)
   }
 
-  /** Changes what this box says of itself. */
+  /** Changes this box's own entry and raises its version. */
   announce (change: Partial<Pick<Member, 'leaving' | 'health' | 'successor'>>, nowMs: number): void {
     this.#put({ ...this.#self, ...change, version: this.#self.version + 1 }, nowMs)
   }
 
-  /** Replaces this box's own incarnation. The old one is gone. */
+  /** Replaces this box's incarnation and marks the old one as gone. */
   takeIncarnation (incarnation: string, nowMs: number): void {
     const old = this.#self
     this.#self = { ...old, incarnation, version: 0, health: MemberHealth.Alive, successor: undefined }
@@ -154,15 +154,15 @@
     this.#put(this.#self, nowMs)
   }
 
-  /** Members that have been suspected for longer than `durationMs`. */
+  /** Members that have been suspect for longer than `durationMs`. */
   suspectedLongerThan (durationMs: number, nowMs: number): Member[] {
     return this.suspected().filter(({ incarnation }) => this.unchangedForMs(incarnation, nowMs) > durationMs)
   }
 
-  /** Forgets members that have been gone for long. */
-  forgetOld (nowMs: number): void {
+  /** Removes members that have been gone for longer than the retention time. */
+  removeExpired (nowMs: number): void {
     [...this.#entries.values()]
-      .filter(({ member, changedAtMs }) => member.health === MemberHealth.Gone && nowMs - changedAtMs > this.#goneMemoryMs)
+      .filter(({ member, changedAtMs }) => member.health === MemberHealth.Gone && nowMs - changedAtMs > this.#goneRetentionMs)
       .forEach(({ member }) => {
         this.#entries.delete(member.incarnation)
         this.#toggleDigest(member)
@@ -170,18 +170,18 @@
       })
   }
 
-  #mergeSelf (heard: Member, nowMs: number): boolean {
-    if (heard.health === MemberHealth.Gone && this.#self.health !== MemberHealth.Gone) {
+  #mergeSelf (received: Member, nowMs: number): boolean {
+    if (received.health === MemberHealth.Gone && this.#self.health !== MemberHealth.Gone) {
       this.#put({ ...this.#self, health: MemberHealth.Gone }, nowMs)
       return true
     }
-    const refute = heard.health === MemberHealth.Suspect && heard.version >= this.#self.version
-    if (refute) this.#put({ ...this.#self, version: heard.version + 1 }, nowMs)
+    const refute = received.health === MemberHealth.Suspect && received.version >= this.#self.version
+    if (refute) this.#put({ ...this.#self, version: received.version + 1 }, nowMs)
     return refute
   }
 
   #toggleDigest (member: Member): void {
-    this.#partDigests[partOf(member)] ^= beliefDigest(member)
+    this.#partDigests[partOf(member)] ^= digestOf(member)
   }
 
   #put (member: Member, nowMs: number): void {
@@ -205,14 +205,14 @@
   return groups
 }
 
-function sameBelief (a: Member, b: Member): boolean {
+function isSameState (a: Member, b: Member): boolean {
   return a.version === b.version && a.health === b.health && a.leaving === b.leaving && a.successor?.incarnation === b.successor?.incarnation
 }
 
 function partOf ({ incarnation }: Member): number {
-  return hash32(incarnation) % PARTS
+  return hash32(incarnation) % DIGEST_PARTS
 }
 
-function beliefDigest (member: Member): number {
+function digestOf (member: Member): number {
   return hash32([member.incarnation, member.version, member.health, member.leaving, member.successor?.incarnation ?? ''].join('|'))
 }
--- a/membership/view/src/mergeMember.ts
+++ b/membership/view/src/mergeMember.ts
@@ -1,9 +1,9 @@
 import { type Member, MemberHealth } from '@reelspan/core.messages'
 
 /**
- * What two beliefs about one incarnation come to. The result does not depend on
- * the order in which beliefs arrive: `gone` is final, then the higher version
- * counts, then suspicion beats health.
+ * Merges two states of one incarnation. The result does not depend on the order
+ * in which states arrive: `gone` is final, then the higher version wins, then
+ * `suspect` wins over `alive`.
  */
 export function mergeMember (a: Member, b: Member): Member {
   if (a.health === MemberHealth.Gone || b.health === MemberHealth.Gone) return mergeGone(a, b)
--- a/membership/view/test/membershipView.ts
+++ b/membership/view/test/membershipView.ts
@@ -17,15 +17,15 @@
   }
 }
 
-const belief = fc.record({
+const state = fc.record({
   version: fc.nat({ max: 3 }),
   health: fc.constantFrom(...Object.values(MemberHealth)),
 }).map(({ version, health }) => member('a', { version, health }))
 
-test('beliefs come to the same whatever their order', (t) => {
-  fc.assert(fc.property(fc.shuffledSubarray([0, 1, 2, 3, 4], { minLength: 5 }), fc.array(belief, { minLength: 5, maxLength: 5 }), (order, beliefs) => {
-    const straight = beliefs.reduce(mergeMember)
-    const shuffled = order.map((i) => beliefs[i]).reduce(mergeMember)
+test('merged states do not depend on their order', (t) => {
+  fc.assert(fc.property(fc.shuffledSubarray([0, 1, 2, 3, 4], { minLength: 5 }), fc.array(state, { minLength: 5, maxLength: 5 }), (order, states) => {
+    const straight = states.reduce(mergeMember)
+    const shuffled = order.map((i) => states[i]).reduce(mergeMember)
     return straight.health === shuffled.health && straight.version === shuffled.version
   }), { seed: 1 })
   t.pass()
@@ -36,14 +36,14 @@
   t.is(mergeMember(gone, member('a', { version: 100 })).health, MemberHealth.Gone)
 })
 
-test('a member refutes that it is suspected', (t) => {
+test('a member refutes a suspicion of itself', (t) => {
   const view = new MembershipView({ self: member('a'), goneMemoryMs: 1000 })
   view.merge(member('a', { health: MemberHealth.Suspect, version: 4 }), 0)
   t.is(view.self.version, 5)
   t.is(view.self.health, MemberHealth.Alive)
 })
 
-test('the digest tells equal views from different ones, and survives forgetting', (t) => {
+test('digests are equal exactly for equal views, also after members are removed', (t) => {
   const one = new MembershipView({ self: member('a'), goneMemoryMs: 1000 })
   const two = new MembershipView({ self: member('b'), goneMemoryMs: 1000 })
   one.merge(two.self, 0)
@@ -51,11 +51,11 @@
   two.merge(one.self, 0)
   t.is(one.digest, two.digest)
   one.merge(member('c', { health: MemberHealth.Gone }), 0)
-  one.forgetOld(2000)
+  one.removeExpired(2000)
   t.is(one.digest, two.digest)
 })
 
-test('members that take work are listed anew only when a member has changed', (t) => {
+test('the list of members that accept work is rebuilt only when a member has changed', (t) => {
   const view = new MembershipView({ self: member('a'), goneMemoryMs: 1000 })
   view.merge(member('b'), 0)
   const before = view.takingWork()
