--- a/config/fleet/src/fleetList.ts
+++ b/config/fleet/src/fleetList.ts
@@ -1,6 +1,6 @@
 import { type ListedBox, type ListedUpstream } from './entries.js'
 
-/** The platform's list of boxes and upstreams. It lags behind reality. */
+/** The platform's list of boxes and upstreams. It may be out of date. */
 export class FleetList {
   readonly boxes: readonly ListedBox[]
   readonly upstreams: readonly ListedUpstream[]
--- a/core/env/src/clock.ts
+++ b/core/env/src/clock.ts
@@ -5,7 +5,7 @@
 
 /**
  * A monotonic clock and the only source of timers. Its readings are meaningful only
- * in this process and are never sent to another machine.
+ * on this machine and are never sent to another one.
  */
 export abstract class Clock {
   /** Milliseconds since a fixed point of this process. Never decreases. */
--- a/core/error/src/reelspanError.ts
+++ b/core/error/src/reelspanError.ts
@@ -4,7 +4,7 @@
 export interface ReelspanErrorOptions {
   /** How the reader can resolve the problem. */
   hint?: string
-  /** What is known about the request that failed. Defaults to `notRun`. */
+  /** Whether the failed request has run. Defaults to `notRun`. */
   verdict?: Verdict
   /** When the caller should retry, in milliseconds from now. */
   retryAfterMs?: number
--- a/core/messages/src/placement.ts
+++ b/core/messages/src/placement.ts
@@ -31,7 +31,7 @@
   avoid: z.array(z.string()),
 })
 
-/** The engines that run a request. They are reserved until `lifeMs` after the plan was created, or until its release. */
+/** The engines that run a request. They stay reserved until the reservation is released, or until the request's deadline plus a grace period. */
 export const placementPlanSchema = z.object({
   outcome: z.literal(PlacementOutcome.Placed),
   prefillEngine: z.string(),
--- a/membership/limits/src/tokenBucketStore.ts
+++ b/membership/limits/src/tokenBucketStore.ts
@@ -32,15 +32,15 @@
   /** Returns the time until a cost can be acquired; 0 if it can be acquired now. */
   waitMs (name: string, cost: number): number {
     const { clock, planOf } = this.#opts
-    const plan = planOf(name)
-    if (!plan) {
+    const config = planOf(name)
+    if (!config) {
       this.#buckets.delete(name)
       return 0
     }
     const nowMs = clock.nowMs()
-    const bucket = this.#buckets.get(name) ?? new TokenBucket(plan.firstLevel, nowMs)
+    const bucket = this.#buckets.get(name) ?? new TokenBucket(config.firstLevel, nowMs)
     this.#buckets.set(name, bucket)
-    return bucket.waitMs(cost, plan, nowMs)
+    return bucket.waitMs(cost, config, nowMs)
   }
 
   /**
--- a/membership/prober/src/prober.ts
+++ b/membership/prober/src/prober.ts
@@ -52,7 +52,7 @@
 const MAX_SUSPECTS_CONTACTED = 15
 /**
  * Retry period of a box that knows no peers. Boxes that start together are up within a few hundred ms of
- * each other, and each schedules independently until they have met: five boxes that did so for 2 s had
+ * each other, and each schedules independently until they know each other: five boxes that did so for 2 s had
  * one in four of their placements refused by engines.
  */
 const ISOLATED_PERIOD_MS = 100
