--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -60,7 +60,7 @@
   },
   {
     name: 'upstreams that had left get no work from a restored store\'s list',
-    file: 'config/fleet/src/guardedFleet.ts',
+    file: 'config/fleet/src/reconciledFleet.ts',
     find: ' || this.#departures.has(name))',
     replace: ')',
     tests: [RESTORED],
@@ -74,15 +74,15 @@
   },
   {
     name: 'upstreams that are missing in a restored store\'s list are kept for a while',
-    file: 'config/fleet/src/guardedFleet.ts',
-    find: 'mayHaveLapsed() || this.#departures.sinceRestoredMs < REENTRY_MS',
+    file: 'config/fleet/src/reconciledFleet.ts',
+    find: 'mayHaveLapsed() || this.#departures.sinceRestoredMs < REREGISTRATION_MS',
     replace: 'mayHaveLapsed()',
     tests: ['config/fleet/test.lib/restoredList.js'],
   },
   {
     name: 'a restored store proves nothing of the configuration at first',
     file: 'config/store/src/configFollower.ts',
-    find: 'shownRevision >= revision && sinceRestoredMs >= REWRITE_MS',
+    find: 'shownRevision >= revision && sinceRestoredMs >= REWRITE_WINDOW_MS',
     replace: 'sinceRestoredMs >= 0',
     tests: ['config/store/test.lib/restoredPlatform.js'],
   },
@@ -123,7 +123,7 @@
   },
   {
     name: 'one box keeps an account\'s limit for all',
-    file: 'membership/limits/src/homeLimiter.ts',
+    file: 'membership/limits/src/coordinatedLimiter.ts',
     find: 'if (answer !== undefined) return answer',
     replace: 'if (answer !== undefined) return 0',
     tests: [ACCOUNTS],
@@ -144,7 +144,7 @@
   },
   {
     name: 'an upstream that advertises draining is leaving in the list that boxes act by',
-    file: 'config/fleet/src/guardedFleet.ts',
+    file: 'config/fleet/src/reconciledFleet.ts',
     find: 'this.#opts.draining?.has(name) === true',
     replace: 'this.#opts.draining?.has(name) === undefined',
     tests: [DRAINING],
@@ -390,7 +390,7 @@
   {
     name: 'a box that knows of no other looks for them at once',
     file: 'membership/prober/src/prober.ts',
-    find: 'this.#tasks.run(() => this.#greetWhileAlone())',
+    find: 'this.#tasks.run(() => this.#contactWhileIsolated())',
     replace: '',
     tests: ['membership/prober/test.lib/prober.js'],
   },
@@ -404,8 +404,8 @@
   {
     name: 'other boxes are asked before one is suspected',
     file: 'membership/prober/src/prober.ts',
-    find: 'if (!overslept && !await this.#askOthers(member))',
-    replace: 'if (!overslept)',
+    find: 'if (!wasPaused && !await this.#probeIndirectly(member))',
+    replace: 'if (!wasPaused)',
     tests: [MEMBERSHIP],
   },
   {
@@ -459,7 +459,7 @@
   },
   {
     name: 'ends of upstreams are told to other boxes at once',
-    file: 'membership/prober/src/flood.ts',
+    file: 'membership/prober/src/broadcaster.ts',
     find: 'await Promise.all(watchedAddresses().map(',
     replace: 'await Promise.all([].map(',
     tests: [CRASHING],
