--- a/request/identity/src/requestIdentity.ts
+++ b/request/identity/src/requestIdentity.ts
@@ -19,29 +19,29 @@
 /** Of a request that is relayed as it came. What may differ from attempt to attempt, such as estimates, is left out. */
 export function identityOfRelayed ({ method, host, target, prompt, body, callerAddress }: RelayedRequest): RequestIdentity {
   const hash = createHash('sha256')
-  addParts(hash, [method, host, target])
-  if (prompt) addParts(hash, [prompt.model, ...prompt.prefixes.map(({ digest }) => digest)])
-  return { content: shortened(hash.update(body)), caller: hashOf(callerAddress) }
+  hashParts(hash, [method, host, target])
+  if (prompt) hashParts(hash, [prompt.model, ...prompt.prefixes.map(({ digest }) => digest)])
+  return { content: truncatedDigest(hash.update(body)), caller: hashOf(callerAddress) }
 }
 
 /** Of a request of the project's own interface. */
 export function identityOfRouted (request: RoutedRequest): RequestIdentity {
   const hash = createHash('sha256')
-  if (request.kind === RequestKind.Completion) addParts(hash, [request.kind, request.route, request.model, request.maxTokens, request.prompt])
-  else addParts(hash, [request.kind, request.route, request.method, request.path]).update(request.body)
-  return { content: shortened(hash), caller: hashOf(request.client) }
+  if (request.kind === RequestKind.Completion) hashParts(hash, [request.kind, request.route, request.model, request.maxTokens, request.prompt])
+  else hashParts(hash, [request.kind, request.route, request.method, request.path]).update(request.body)
+  return { content: truncatedDigest(hash), caller: hashOf(request.client) }
 }
 
 /** Each part ends, so that no two lists of parts are hashed alike. */
-function addParts (hash: Hash, parts: readonly (string | number)[]): Hash {
+function hashParts (hash: Hash, parts: readonly (string | number)[]): Hash {
   parts.forEach((part) => hash.update(`${part}\0`))
   return hash
 }
 
 function hashOf (text: string): string {
-  return shortened(createHash('sha256').update(text))
+  return truncatedDigest(createHash('sha256').update(text))
 }
 
-function shortened (hash: Hash): string {
+function truncatedDigest (hash: Hash): string {
   return hash.digest('base64url').slice(0, HASH_LENGTH)
 }
--- a/request/identity/test/requestIdentity.ts
+++ b/request/identity/test/requestIdentity.ts
@@ -17,8 +17,8 @@
 const CALL: ServiceRequest = { kind: RequestKind.Service, key: 'k1', route: 'desk', client: 'bank', notRepeatable: true, deadlineMs: 1000, method: 'POST', path: '/book', body: Buffer.from('ride') }
 
 test('attempts of one request have one identity, whatever their ids, headers and estimates', (t) => {
-  const again = { ...RELAYED, id: 'b', headers: [], prompt: { ...RELAYED.prompt, expectedTokens: 90 } as RelayedRequest['prompt'], resumeAfter: '7' }
-  t.deepEqual(identityOfRelayed(again), identityOfRelayed(RELAYED))
+  const retried = { ...RELAYED, id: 'b', headers: [], prompt: { ...RELAYED.prompt, expectedTokens: 90 } as RelayedRequest['prompt'], resumeAfter: '7' }
+  t.deepEqual(identityOfRelayed(retried), identityOfRelayed(RELAYED))
   t.deepEqual(identityOfRouted({ ...CALL, key: 'k2', deadlineMs: 5 }), identityOfRouted(CALL))
 })
 
--- a/request/key/src/parseRequestKey.ts
+++ b/request/key/src/parseRequestKey.ts
@@ -1,5 +1,5 @@
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
-import { checkCode, KEY_PREFIX_MARK } from './formatKeyPrefix.js'
+import { checksumOf, KEY_PREFIX_MARK } from './formatKeyPrefix.js'
 import { type KeyOwner, type RequestKey } from './requestKey.js'
 
 const OWNED_KEY = /^rs1-([\w-]+)-([0-9a-f]{8})\.([\w.~-]{1,128})$/
@@ -11,8 +11,8 @@
   if (!text.startsWith(KEY_PREFIX_MARK)) return parsePlainKey(text)
   const match = OWNED_KEY.exec(text)
   if (!match) throw invalidKey('it is not «prefix.own-part»; the own part may have letters, digits, and . _ ~ -')
-  const [, encoded, check] = match
-  if (checkCode(encoded) !== check) throw invalidKey('its check code is wrong, so it was changed or cut')
+  const [, encoded, checksum] = match
+  if (checksumOf(encoded) !== checksum) throw invalidKey('its check code is wrong, so it was changed or cut')
   return { text, owner: parseOwner(encoded) }
 }
 
--- a/request/lookup/src/answerLookup.ts
+++ b/request/lookup/src/answerLookup.ts
@@ -31,12 +31,12 @@
 }
 
 /** How much a box in another availability zone is avoided: as if it had this many more requests. */
-const FAR_PENALTY = 20
+const REMOTE_ZONE_PENALTY_REQUESTS = 20
 
 /** Answers a lookup from what this box knows, without asking anyone. */
 export function answerLookup (opts: LookupOptions): LookupAnswer {
   const { clock, view, boxCount, keepMs } = opts
-  const ordered = spreadByLoad(view.takingWork(), opts).slice(0, boxCount)
+  const ordered = shuffleByLoad(view.takingWork(), opts).slice(0, boxCount)
   const { peerAddress, incarnation } = view.self
   return {
     boxes: ordered.map(({ name, callerAddress, availabilityZone }) => ({ name, address: callerAddress, availabilityZone })),
@@ -46,13 +46,13 @@
 }
 
 /** A random order in which less loaded and nearer boxes come first more often, so that a box's share follows its room. */
-function spreadByLoad (members: readonly Member[], { random, loadOf, availabilityZone }: LookupOptions): Member[] {
+function shuffleByLoad (members: readonly Member[], { random, loadOf, availabilityZone }: LookupOptions): Member[] {
   const known = members.flatMap(({ incarnation }) => loadOf(incarnation) ?? [])
-  const usualLoad = known.length > 0 ? known.reduce((sum, load) => sum + load, 0) / known.length : 0
+  const meanLoad = known.length > 0 ? known.reduce((sum, load) => sum + load, 0) / known.length : 0
   return members
     .map((member) => {
-      const far = availabilityZone !== undefined && member.availabilityZone !== availabilityZone
-      const load = (loadOf(member.incarnation) ?? usualLoad) + (far ? FAR_PENALTY : 0)
+      const isRemote = availabilityZone !== undefined && member.availabilityZone !== availabilityZone
+      const load = (loadOf(member.incarnation) ?? meanLoad) + (isRemote ? REMOTE_ZONE_PENALTY_REQUESTS : 0)
       // Exponential race: the chance to come first is inverse to the load.
       return { member, time: -Math.log(1 - random.nextFloat()) * (1 + load) }
     })
--- a/request/owner/src/completionRun.ts
+++ b/request/owner/src/completionRun.ts
@@ -7,7 +7,7 @@
 import { type BrokenRuns } from '@reelspan/request.quarantine'
 import { type Placement, type Placer, type PlaceRequest } from '@reelspan/scheduling.placer'
 import { type EngineClient, type PrefillResult, UpstreamError } from '@reelspan/upstream.client'
-import { noteBreak } from './noteBreak.js'
+import { reportInterruption } from './reportInterruption.js'
 import { percentile } from './percentile.js'
 import { type RequestTimings } from './requestTimings.js'
 import { type RunContext } from './runContext.js'
@@ -49,12 +49,12 @@
     this.#timings = timings
   }
 
-  async carryOut (): Promise<void> {
+  async execute (): Promise<void> {
     for (let attempt = 1; ; attempt++) {
       const label = this.#nextLabel()
       const placement = await this.#place(label)
       try {
-        await this.#carryOutPlaced(label, placement)
+        await this.#executePlacement(label, placement)
         this.#run.finish(tokensOfText(this.#request.prompt))
         return
       } catch (thrown) {
@@ -67,7 +67,7 @@
   #mayRetry (thrown: unknown, attempt: number): boolean {
     if (!(thrown instanceof UpstreamError) || attempt >= MAX_ATTEMPTS) return false
     if (this.#run.mayHaveRun && this.#request.notRepeatable) return false
-    return this.#run.takeRetry()
+    return this.#run.tryAcquireRetry()
   }
 
   /** Places the request, or what is left of it. Only a request that no engine has begun is refused. */
@@ -89,7 +89,7 @@
 
   #placeRequest (label: HoldLabel): PlaceRequest {
     const { model, client, priority, maxTokens, ttftTargetMs, tbtTargetMs } = this.#request
-    const prompt = this.#promptSoFar()
+    const prompt = this.#promptWithAnswer()
     return {
       model,
       client,
@@ -100,37 +100,37 @@
       prefixes: prefixDigests(prompt),
       maxTokens: maxTokens - this.#generated.length,
       // A request that has begun and failed is finished late rather than left in doubt: any time left will do.
-      ttftLeftMs: this.#run.mayHaveRun ? this.#run.leftMs : ttftTargetMs - this.#run.elapsedMs,
+      ttftLeftMs: this.#run.mayHaveRun ? this.#run.remainingMs : ttftTargetMs - this.#run.elapsedMs,
       tbtTargetMs,
-      deadlineMs: this.#run.leftMs,
+      deadlineMs: this.#run.remainingMs,
       avoid: [...this.#failedEngines],
     }
   }
 
   #nextLabel (): HoldLabel {
     const { peerAddress, incarnation } = this.#opts.standing()
-    return { ownerAddress: peerAddress, ownerIncarnation: incarnation, requestId: this.#run.nextAttempt(), maxHoldMs: this.#run.leftMs }
+    return { ownerAddress: peerAddress, ownerIncarnation: incarnation, requestId: this.#run.nextAttempt(), maxHoldMs: this.#run.remainingMs }
   }
 
-  #promptSoFar (): string {
+  #promptWithAnswer (): string {
     return this.#request.prompt + this.#generated.join('')
   }
 
-  async #carryOutPlaced (label: HoldLabel, placement: Placement): Promise<void> {
+  async #executePlacement (label: HoldLabel, placement: Placement): Promise<void> {
     const { clock } = this.#opts
     const { plan } = placement
     const placedAtMs = clock.nowMs()
-    let settled = false
+    let finished = false
     try {
       await clock.sleep(plan.startInMs, { signal: this.#run.signal })
       await this.#run.checkBeforeSend()
       // Waking late, the place that was kept for the end of this prefill may be another's by now.
       if (clock.nowMs() - placedAtMs > plan.startWithinMs) throw new UpstreamError('the placement was not used in time', { mayHaveRun: false })
       await this.#prefillAndDecode(label, placement)
-      settled = true
+      finished = true
     } finally {
-      placement.release(settled ? this.#report(plan, placedAtMs) : undefined)
-      if (!settled) this.#releaseEngines(label, plan)
+      placement.release(finished ? this.#report(plan, placedAtMs) : undefined)
+      if (!finished) this.#releaseEngines(label, plan)
     }
   }
 
@@ -165,8 +165,8 @@
 
   async #prefill (label: HoldLabel, plan: PlacementPlan): Promise<PrefillResult> {
     const { engines } = this.#opts
-    const request = { label, model: this.#request.model, prompt: this.#promptSoFar(), priority: this.#request.priority }
-    const result = await this.#blame(plan.prefillEngine, plan.prefillAddress, () =>
+    const request = { label, model: this.#request.model, prompt: this.#promptWithAnswer(), priority: this.#request.priority }
+    const result = await this.#trackFailure(plan.prefillEngine, plan.prefillAddress, () =>
       this.#run.dispatch(() => engines.prefill(plan.prefillAddress, request, this.#callOptions())))
     this.#timings.prefilledTokens += result.promptTokens - result.cachedTokens
     if (!sameHolder(result.label, label)) throw new UpstreamError(`${plan.prefillEngine} answered another request`, { mayHaveRun: true })
@@ -182,8 +182,8 @@
         return
       } catch (thrown) {
         this.#run.throwIfEnded()
-        const broken = thrown instanceof UpstreamError && !thrown.refused && this.#generated.length > firstIndex
-        if (!broken || resumes >= MAX_RESUMES) throw thrown
+        const interrupted = thrown instanceof UpstreamError && !thrown.refused && this.#generated.length > firstIndex
+        if (!interrupted || resumes >= MAX_RESUMES) throw thrown
       }
     }
   }
@@ -201,16 +201,16 @@
       firstIndex,
     }
     let ended = false
-    await this.#blame(plan.decodeEngine, plan.decodeAddress, async () => {
+    await this.#trackFailure(plan.decodeEngine, plan.decodeAddress, async () => {
       for await (const event of engines.decode(plan.decodeAddress, request, this.#callOptions())) {
         if (!sameHolder(event.label, label)) throw new UpstreamError(`${plan.decodeEngine} sent a part of another answer`, { mayHaveRun: true })
         if (event.end) {
           // Read on to the end of the stream: one that is left early costs its connection.
-          this.#checkWhole(event.count, plan)
+          this.#checkComplete(event.count, plan)
           ended = true
           continue
         }
-        this.#take(event.index, event.text, plan)
+        this.#appendToken(event.index, event.text, plan)
         placement.progressed(this.#generated.length - firstIndex)
       }
       if (!ended) throw new UpstreamError(`${plan.decodeEngine} broke the stream off`, { mayHaveRun: true })
@@ -218,38 +218,38 @@
   }
 
   /** Adds a token to the answer. One that came twice is dropped; a missing one breaks the stream. */
-  #take (index: number, text: string, plan: PlacementPlan): void {
+  #appendToken (index: number, text: string, plan: PlacementPlan): void {
     if (index < this.#generated.length) return
     if (index > this.#generated.length) throw new UpstreamError(`${plan.decodeEngine} left out a token`, { mayHaveRun: true })
     const nowMs = this.#opts.clock.nowMs()
-    this.#noteTime(nowMs)
+    this.#recordTokenTime(nowMs)
     this.#generated.push(text)
     this.#run.record.append({ kind: AnswerEventKind.Token, index, text }, nowMs)
   }
 
-  #noteTime (nowMs: number): void {
+  #recordTokenTime (nowMs: number): void {
     this.#firstTokenAtMs ??= nowMs
     if (this.#lastTokenAtMs === undefined) this.#timings.ttftMs = this.#run.elapsedMs
     else this.#timings.tbtMs.push(nowMs - this.#lastTokenAtMs)
     this.#lastTokenAtMs = nowMs
   }
 
-  #checkWhole (count: number, plan: PlacementPlan): void {
+  #checkComplete (count: number, plan: PlacementPlan): void {
     if (count !== this.#generated.length) throw new UpstreamError(`${plan.decodeEngine} ended a stream that is not whole`, { mayHaveRun: true })
   }
 
   #callOptions () {
-    return { timeoutMs: Math.min(this.#opts.upstreamTimeoutMs, Math.max(1, this.#run.leftMs)), signal: this.#run.signal }
+    return { timeoutMs: Math.min(this.#opts.upstreamTimeoutMs, Math.max(1, this.#run.remainingMs)), signal: this.#run.signal }
   }
 
   /** Remembers an engine that failed, so that the next attempt goes elsewhere. */
-  async #blame<T> (engine: string, address: string, work: () => Promise<T>): Promise<T> {
+  async #trackFailure<T> (engine: string, address: string, work: () => Promise<T>): Promise<T> {
     const sentAtMs = this.#opts.clock.nowMs()
     try {
       return await work()
     } catch (thrown) {
       if (thrown instanceof UpstreamError) this.#failedEngines.add(engine)
-      noteBreak(this.#opts.brokenRuns, this.#run, { request: this.#request, upstream: engine, address, sentAtMs }, thrown)
+      reportInterruption(this.#opts.brokenRuns, this.#run, { request: this.#request, upstream: engine, address, sentAtMs }, thrown)
       throw thrown
     }
   }
--- a/request/owner/src/index.ts
+++ b/request/owner/src/index.ts
@@ -1,5 +1,5 @@
 export { Owner } from './owner.js'
-export type { OwnerOptions, OwnerEvents, Standing } from './owner.js'
+export type { OwnerOptions, OwnerEvents, BoxIdentity } from './owner.js'
 export { percentile } from './percentile.js'
 export { RunContext } from './runContext.js'
 export { RetryBudget } from './retryBudget.js'
--- a/request/owner/src/owner.ts
+++ b/request/owner/src/owner.ts
@@ -15,10 +15,10 @@
 import { RetryBudget } from './retryBudget.js'
 import { RunContext } from './runContext.js'
 import { ServiceRun } from './serviceRun.js'
-import { WakeWatch } from './wakeWatch.js'
+import { TakeoverGuard } from './takeoverGuard.js'
 
 /** What this box is at the moment. */
-export interface Standing {
+export interface BoxIdentity {
   peerAddress: string
   incarnation: string
 }
@@ -35,7 +35,7 @@
   services: ServiceClient
   placer: Placer
   records: RecordStore
-  standing: () => Standing
+  standing: () => BoxIdentity
   configuration: () => Configuration
   fleet: () => FleetList
   /** A key prefix may start new requests for this long after it was given out. */
@@ -67,7 +67,7 @@
   takeOver?: boolean
 }
 
-interface Running {
+interface RunningRequest {
   run: RunContext
   incarnation: string
 }
@@ -76,19 +76,19 @@
 export class Owner {
   readonly #opts: OwnerOptions
   readonly #tasks: TaskGroup
-  readonly #wakeWatch: WakeWatch
-  readonly #running = new Map<string, Running>()
+  readonly #takeoverGuard: TakeoverGuard
+  readonly #running = new Map<string, RunningRequest>()
   readonly #retries = new RetryBudget({ perRequest: RETRIES_PER_REQUEST, maxRetries: () => MAX_BUDGETED_RETRIES })
   readonly #ended = new Notifier()
   #sequence = 0
-  #closed = false
+  #acceptingStopped = false
   /** When this box ends whatever runs, on its clock. */
-  #endsAtMs = Number.POSITIVE_INFINITY
+  #stopsAtMs = Number.POSITIVE_INFINITY
 
   constructor (opts: OwnerOptions) {
     this.#opts = opts
     this.#tasks = new TaskGroup(opts.clock, opts.onTaskError)
-    this.#wakeWatch = new WakeWatch(opts)
+    this.#takeoverGuard = new TakeoverGuard(opts)
     opts.quarantine.onQuarantined(() => this.#running.forEach(({ run }) => run.endIfRefused()))
   }
 
@@ -101,7 +101,7 @@
     const known = this.#opts.records.get(request.key)
     if (known) return this.#join(known, request)
     if (!opts.takeOver || request.notRepeatable) this.#checkKey(request)
-    if (this.#closed || this.#opts.clock.nowMs() + request.deadlineMs > this.#endsAtMs) {
+    if (this.#acceptingStopped || this.#opts.clock.nowMs() + request.deadlineMs > this.#stopsAtMs) {
       throw new ReelspanError(ErrorCode.Draining, 'this box is about to stop', { retryAfterMs: 0, hint: 'Ask for a new lookup.' })
     }
     const record = this.#opts.records.open(request.key, fingerprintOf(request), answerBytes(request))
@@ -129,12 +129,12 @@
 
   /** This box ends within that time: new requests are taken only if their deadlines end before. */
   endWithin (durationMs: number): void {
-    this.#endsAtMs = this.#opts.clock.nowMs() + durationMs
+    this.#stopsAtMs = this.#opts.clock.nowMs() + durationMs
   }
 
   /** From now on nothing new is started; known requests go on and can be joined. */
   closeForNew (): void {
-    this.#closed = true
+    this.#acceptingStopped = true
   }
 
   /** Resolves once no request runs, or the signal is aborted. */
@@ -190,7 +190,7 @@
 
   #start (record: RequestRecord, request: RoutedRequest): void {
     const { incarnation } = this.#opts.standing()
-    const holdsStanding = () => this.#opts.standing().incarnation === incarnation
+    const isCurrentIncarnation = () => this.#opts.standing().incarnation === incarnation
     const acceptedAtMs = this.#opts.clock.nowMs()
     const identity = once(() => identityOfRouted(request))
     const run = new RunContext({
@@ -198,25 +198,25 @@
       record,
       deadlineMs: request.deadlineMs,
       requestId: (this.#sequence++).toString(36),
-      holdsStanding,
+      isCurrentIncarnation,
       // Nobody else runs what may not be repeated, whatever became of this box.
-      isSure: () => request.notRepeatable || (holdsStanding() && this.#wakeWatch.isSureSince(acceptedAtMs)),
-      takeRetry: () => this.#retries.takeRetry(),
+      isExclusive: () => request.notRepeatable || (isCurrentIncarnation() && this.#takeoverGuard.isExclusiveSince(acceptedAtMs)),
+      tryAcquireRetry: () => this.#retries.tryAcquireRetry(),
       refusal: () => this.#opts.quarantine.refusalOf(identity),
     })
-    this.#retries.countRequest()
+    this.#retries.recordRequest()
     this.#running.set(record.key, { run, incarnation })
-    this.#tasks.run(() => this.#carryOut(run, request, identity))
+    this.#tasks.run(() => this.#execute(run, request, identity))
     this.#tasks.run(() => run.enforceDeadline())
-    if (!request.notRepeatable) this.#tasks.run(() => this.#endUnread(run))
+    if (!request.notRepeatable) this.#tasks.run(() => this.#cancelUnread(run))
   }
 
-  async #carryOut (run: RunContext, request: RoutedRequest, identity: () => RequestIdentity): Promise<void> {
+  async #execute (run: RunContext, request: RoutedRequest, identity: () => RequestIdentity): Promise<void> {
     const timings: RequestTimings = { tbtMs: [], prefilledTokens: 0, wastedPrefillTokens: 0 }
     try {
-      if (request.kind === RequestKind.Completion) await new CompletionRun(this.#opts, run, request, timings).carryOut()
-      else await new ServiceRun(this.#opts, run, request).carryOut()
-      this.#opts.quarantine.noteFinished(identity)
+      if (request.kind === RequestKind.Completion) await new CompletionRun(this.#opts, run, request, timings).execute()
+      else await new ServiceRun(this.#opts, run, request).execute()
+      this.#opts.quarantine.recordFinished(identity)
     } catch (thrown) {
       run.end(toReelspanError(thrown))
     } finally {
@@ -230,23 +230,23 @@
     run.close()
     records.close(record.key)
     // A refused request did not run, so the same key may be sent again.
-    if (record.final?.verdict === Verdict.NotRun) records.drop(record.key)
+    if (record.final?.verdict === Verdict.NotRun) records.remove(record.key)
     this.#running.delete(record.key)
     this.#ended.notify()
     onEnd?.(record, request, timings)
   }
 
   /** Cancels a request that nobody has read for a while. */
-  async #endUnread (run: RunContext): Promise<void> {
+  async #cancelUnread (run: RunContext): Promise<void> {
     const { clock, rejoinGraceMs } = this.#opts
     const { record, signal } = run
-    await record.waitRead(signal)
+    await record.waitUntilRead(signal)
     while (!signal.aborted) {
-      await record.waitUnread(signal)
-      const graceOver = new AbortController()
-      const rejoined = record.waitRead(AbortSignal.any([signal, graceOver.signal]))
+      await record.waitUntilUnread(signal)
+      const graceExpired = new AbortController()
+      const rejoined = record.waitUntilRead(AbortSignal.any([signal, graceExpired.signal]))
       await Promise.race([rejoined, clock.sleep(rejoinGraceMs, { signal })])
-      graceOver.abort(STOPPED)
+      graceExpired.abort(STOPPED)
       if (record.readers === 0) run.end(new ReelspanError(ErrorCode.Cancelled, 'the caller went away'))
     }
   }
--- a/request/owner/src/noteBreak.ts
+++ b/request/owner/src/reportInterruption.ts
@@ -13,8 +13,8 @@
 }
 
 /** Has an upstream looked at whose answer broke off. A run that was ended here says nothing of the upstream. */
-export function noteBreak (brokenRuns: BrokenRuns, run: RunContext, { request, upstream, address, sentAtMs }: SentRequest, thrown: unknown): void {
+export function reportInterruption (interruptedRuns: BrokenRuns, run: RunContext, { request, upstream, address, sentAtMs }: SentRequest, thrown: unknown): void {
   if (!(thrown instanceof UpstreamError) || !thrown.brokeOff || run.signal.aborted) return
   const { key, route } = request
-  void brokenRuns.note({ request: key, route, identity: identityOfRouted(request), upstream, address, sentAtMs, reason: thrown.message })
+  void interruptedRuns.record({ request: key, route, identity: identityOfRouted(request), upstream, address, sentAtMs, reason: thrown.message })
 }
--- a/request/owner/src/retryBudget.ts
+++ b/request/owner/src/retryBudget.ts
@@ -19,12 +19,12 @@
     return this.#left
   }
 
-  countRequest (): void {
+  recordRequest (): void {
     this.#left = Math.min(this.#opts.maxRetries(), this.#left + this.#opts.perRequest)
   }
 
   /** Takes one retry from the budget, if there is one. */
-  takeRetry (): boolean {
+  tryAcquireRetry (): boolean {
     if (this.#left < 1) return false
     this.#left--
     return true
--- a/request/owner/src/runContext.ts
+++ b/request/owner/src/runContext.ts
@@ -13,10 +13,10 @@
   /** Unique within this incarnation. */
   requestId: string
   /** Whether this box is still the incarnation that started the run. */
-  holdsStanding: () => boolean
-  takeRetry: () => boolean
+  isCurrentIncarnation: () => boolean
+  tryAcquireRetry: () => boolean
   /** Whether nobody else can have run the request in the meantime. */
-  isSure: () => boolean
+  isExclusive: () => boolean
   /** Why the request must not be sent to any upstream now, if it must not. */
   refusal: () => ReelspanError | undefined
 }
@@ -59,7 +59,7 @@
     return this.#lastSentMs
   }
 
-  get leftMs (): number {
+  get remainingMs (): number {
     return this.#opts.deadlineMs - this.elapsedMs
   }
 
@@ -73,17 +73,17 @@
     return this.currentRequestId
   }
 
-  takeRetry (): boolean {
-    return this.#opts.takeRetry()
+  tryAcquireRetry (): boolean {
+    return this.#opts.tryAcquireRetry()
   }
 
   /** Right before a message that an upstream acts on: reads what has come in, then checks that the run still stands. */
   async checkBeforeSend (): Promise<void> {
     await this.#opts.clock.settle()
-    if (!this.#opts.holdsStanding()) this.end(new ReelspanError(ErrorCode.OwnerGone, 'this box was declared gone'))
+    if (!this.#opts.isCurrentIncarnation()) this.end(new ReelspanError(ErrorCode.OwnerGone, 'this box was declared gone'))
     const refusal = this.#opts.refusal()
     if (refusal) this.end(refusal)
-    if (this.leftMs <= 0) this.#endLate()
+    if (this.remainingMs <= 0) this.#endAtDeadline()
     this.throwIfEnded()
   }
 
@@ -104,24 +104,24 @@
    * anything before.
    */
   dispatch<T> (send: () => Promise<T>): Promise<T> {
-    return this.dispatchWhenSent((sent) => {
-      sent()
+    return this.dispatchOnSend((markSent) => {
+      markSent()
       return send()
     })
   }
 
   /** Like `dispatch`, but the request may have run only from when the sender says that it sends. */
-  async dispatchWhenSent<T> (send: (sent: () => void) => Promise<T>): Promise<T> {
+  async dispatchOnSend<T> (send: (sent: () => void) => Promise<T>): Promise<T> {
     const mayHaveRunBefore = this.#mayHaveRun
-    const sent = () => {
+    const markSent = () => {
       this.#mayHaveRun = true
       this.#lastSentMs = this.elapsedMs
     }
     try {
-      return await send(sent)
+      return await send(markSent)
     } catch (thrown) {
       if (toReelspanError(thrown).verdict === Verdict.NotRun) this.#mayHaveRun = mayHaveRunBefore
-      else sent()
+      else markSent()
       throw thrown
     }
   }
@@ -129,7 +129,7 @@
   /** Ends the request with its final answer, at once. Only the first end counts. */
   end (error: ReelspanError): void {
     if (error instanceof RunEnded) return
-    const verdict = this.#mayHaveRun || !this.#opts.isSure() ? Verdict.MayHaveRun : Verdict.NotRun
+    const verdict = this.#mayHaveRun || !this.#opts.isExclusive() ? Verdict.MayHaveRun : Verdict.NotRun
     this.#append(verdict, error)
     this.#abort.abort(STOPPED)
   }
@@ -147,13 +147,13 @@
 
   async enforceDeadline (): Promise<void> {
     const { clock } = this.#opts
-    await clock.sleep(this.leftMs, { signal: this.signal })
+    await clock.sleep(this.remainingMs, { signal: this.signal })
     // After a pause of this process, an answer that came in time may still be waiting to be read.
     await clock.settle()
-    if (!this.signal.aborted) this.#endLate()
+    if (!this.signal.aborted) this.#endAtDeadline()
   }
 
-  #endLate (): void {
+  #endAtDeadline (): void {
     this.end(new ReelspanError(ErrorCode.DeadlinePassed, 'the deadline has passed'))
   }
 
--- a/request/owner/src/serviceRun.ts
+++ b/request/owner/src/serviceRun.ts
@@ -5,7 +5,7 @@
 import { AnswerEventKind, type ServiceRequest } from '@reelspan/core.messages'
 import { type ServiceClient, type ServiceReply, UpstreamError } from '@reelspan/upstream.client'
 import { type BrokenRuns } from '@reelspan/request.quarantine'
-import { noteBreak } from './noteBreak.js'
+import { reportInterruption } from './reportInterruption.js'
 import { type RunContext } from './runContext.js'
 
 export interface ServiceRunOptions {
@@ -34,7 +34,7 @@
     this.#request = request
   }
 
-  async carryOut (): Promise<void> {
+  async execute (): Promise<void> {
     const { clock } = this.#opts
     for (let attempt = 1; ; attempt++) {
       await this.#run.checkBeforeSend()
@@ -59,9 +59,9 @@
     const call = { requestKey: key, method, path, contentType, body }
     const sentAtMs = clock.nowMs()
     const reply = await this.#run.dispatch(() =>
-      services.call(address, call, { timeoutMs: this.#run.leftMs, signal: this.#run.signal }))
+      services.call(address, call, { timeoutMs: this.#run.remainingMs, signal: this.#run.signal }))
       .catch((thrown: unknown) => {
-        noteBreak(brokenRuns, this.#run, { request: this.#request, upstream: name, address, sentAtMs }, thrown)
+        reportInterruption(brokenRuns, this.#run, { request: this.#request, upstream: name, address, sentAtMs }, thrown)
         throw thrown
       })
     if (reply.requestKey !== key) throw new UpstreamError(`${name} answered another request`, { mayHaveRun: true })
@@ -72,7 +72,7 @@
   #mayRetry (thrown: unknown, attempt: number): boolean {
     if (!(thrown instanceof UpstreamError) || attempt >= MAX_ATTEMPTS) return false
     if (this.#run.mayHaveRun && this.#request.notRepeatable) return false
-    return this.#run.takeRetry()
+    return this.#run.tryAcquireRetry()
   }
 
   #pick (): ListedUpstream {
--- a/request/owner/src/wakeWatch.ts
+++ b/request/owner/src/takeoverGuard.ts
@@ -1,6 +1,6 @@
 import { type PauseWatch } from '@reelspan/core.env'
 
-export interface WakeWatchOptions {
+export interface TakeoverGuardOptions {
   pauses: PauseWatch
   /** When most watched peers last answered; a box without peers needs none. */
   lastContactMs: () => number
@@ -15,18 +15,18 @@
  * gone, and what may be repeated may have been run elsewhere: it can no longer
  * say of such a request that it did not run.
  */
-export class WakeWatch {
-  readonly #opts: WakeWatchOptions
+export class TakeoverGuard {
+  readonly #opts: TakeoverGuardOptions
 
-  constructor (opts: WakeWatchOptions) {
+  constructor (opts: TakeoverGuardOptions) {
     this.#opts = opts
   }
 
   /** Whether nobody can have taken over a request that was accepted here at a time. */
-  isSureSince (acceptedAtMs: number): boolean {
+  isExclusiveSince (acceptedAtMs: number): boolean {
     const { pauses, lastContactMs, hasPeers } = this.#opts
-    const wokeAtMs = pauses.wokeAtMs(PAUSE_MS)
-    const heardSince = lastContactMs() > wokeAtMs || !hasPeers()
-    return acceptedAtMs > wokeAtMs && heardSince
+    const resumedAtMs = pauses.wokeAtMs(PAUSE_MS)
+    const inContactSince = lastContactMs() > resumedAtMs || !hasPeers()
+    return acceptedAtMs > resumedAtMs && inContactSince
   }
 }
--- a/request/quarantine/src/quarantine.ts
+++ b/request/quarantine/src/quarantine.ts
@@ -31,7 +31,7 @@
   readonly #opts: QuarantineOptions
   readonly #listeners = new Set<QuarantineListener>()
   /** Requests that the log says are quarantined. */
-  readonly #told = new Map<string, RequestIdentity>()
+  readonly #logged = new Map<string, RequestIdentity>()
   #sequence = 0
 
   constructor (opts: QuarantineOptions) {
@@ -40,8 +40,8 @@
 
   /** How many requests are not run at present. Tells of those that may run again. */
   countQuarantined (): number {
-    [...this.#told.values()].forEach((request) => this.#tell(request, this.#judge(request)))
-    return this.#told.size
+    [...this.#logged.values()].forEach((request) => this.#logChange(request, this.#quarantiningRuns(request)))
+    return this.#logged.size
   }
 
   onQuarantined (listener: QuarantineListener): void {
@@ -52,33 +52,33 @@
   refusalOf (identity: () => RequestIdentity): ReelspanError | undefined {
     if (this.#opts.history.size === 0) return undefined
     const request = identity()
-    const runs = this.#judge(request)
-    this.#tell(request, runs)
+    const runs = this.#quarantiningRuns(request)
+    this.#logChange(request, runs)
     return runs.length > 0 ? this.#refusal(runs) : undefined
   }
 
   /** The upstream's process has ended while it ran the request. */
   noteUpstreamEnded (identity: RequestIdentity, upstream: string, { ranMs, ageMs }: Pick<RunEvent, 'ranMs' | 'ageMs'>): void {
-    this.#note({ ...identity, end: RunEnd.UpstreamEnded, upstream, ranMs, ageMs })
+    this.#recordEvent({ ...identity, end: RunEnd.UpstreamEnded, upstream, ranMs, ageMs })
   }
 
   /** The request has run to its end, so it does not end every upstream that runs it. That is told where it was at an upstream's end since. */
-  noteFinished (identity: () => RequestIdentity): void {
+  recordFinished (identity: () => RequestIdentity): void {
     const { history } = this.#opts
     if (history.size === 0) return
     const request = identity()
-    const last = history.of(request.content).at(-1)
-    if (last?.end === RunEnd.UpstreamEnded) this.#note({ ...request, end: RunEnd.Finished, ranMs: 0, ageMs: 0 })
+    const last = history.runsOf(request.content).at(-1)
+    if (last?.end === RunEnd.UpstreamEnded) this.#recordEvent({ ...request, end: RunEnd.Finished, ranMs: 0, ageMs: 0 })
   }
 
   /** Events of this or another box were added to the history. */
   noteAdded (events: readonly RunEvent[]): void {
-    const before = this.#told.size
-    events.forEach((event) => this.#tell(event, this.#judge(event)))
-    if (this.#told.size > before) this.#listeners.forEach((listener) => listener())
+    const before = this.#logged.size
+    events.forEach((event) => this.#logChange(event, this.#quarantiningRuns(event)))
+    if (this.#logged.size > before) this.#listeners.forEach((listener) => listener())
   }
 
-  #note (event: Omit<RunEvent, 'id'>): void {
+  #recordEvent (event: Omit<RunEvent, 'id'>): void {
     const { history, incarnation, onEvent } = this.#opts
     const named = { ...event, id: `${incarnation()}.${this.#sequence++}` }
     if (!history.add(named)) return
@@ -86,33 +86,33 @@
     onEvent(named)
   }
 
-  #judge (request: RequestIdentity): readonly PastRun[] {
+  #quarantiningRuns (request: RequestIdentity): readonly PastRun[] {
     const runs = judgeRequest(this.#opts.history, request)
     const last = runs.at(-1)
-    return last && this.#leftMs(last) > 0 ? runs : []
+    return last && this.#remainingMs(last) > 0 ? runs : []
   }
 
-  #leftMs ({ endedAtMs }: PastRun): number {
+  #remainingMs ({ endedAtMs }: PastRun): number {
     return endedAtMs + QUARANTINE_MS - this.#opts.clock.nowMs()
   }
 
   #refusal (runs: readonly PastRun[]): ReelspanError {
-    const upstreams = endedUpstreams(runs).join(', ')
+    const upstreams = exitedUpstreams(runs).join(', ')
     return new ReelspanError(ErrorCode.RequestQuarantined, `${runs.length} upstreams ended under this request, one after the other: ${upstreams}`, {
-      retryAfterMs: this.#leftMs(runs.at(-1) as PastRun),
+      retryAfterMs: this.#remainingMs(runs.at(-1) as PastRun),
     })
   }
 
-  #tell ({ content, caller }: RequestIdentity, runs: readonly PastRun[]): void {
+  #logChange ({ content, caller }: RequestIdentity, runs: readonly PastRun[]): void {
     const key = `${content} ${caller}`
     const quarantined = runs.length > 0
-    if (quarantined === this.#told.has(key)) return
-    if (quarantined) this.#told.set(key, { content, caller })
-    else this.#told.delete(key)
-    this.#opts.log.warn(LogEvent.QuarantineChanged, { quarantined, contentHash: content, callerHash: caller, upstreams: endedUpstreams(runs) })
+    if (quarantined === this.#logged.has(key)) return
+    if (quarantined) this.#logged.set(key, { content, caller })
+    else this.#logged.delete(key)
+    this.#opts.log.warn(LogEvent.QuarantineChanged, { quarantined, contentHash: content, callerHash: caller, upstreams: exitedUpstreams(runs) })
   }
 }
 
-function endedUpstreams (runs: readonly PastRun[]): string[] {
+function exitedUpstreams (runs: readonly PastRun[]): string[] {
   return runs.flatMap(({ upstream }) => upstream ?? [])
 }
--- a/request/quarantine/src/runHistory.ts
+++ b/request/quarantine/src/runHistory.ts
@@ -16,13 +16,13 @@
 }
 
 /** How long a run is remembered: several times the time for which a request is not run because of it, so that one that comes back is known again at once. */
-export const RUN_MEMORY_MS = 30 * 60_000
+export const RUN_RETENTION_MS = 30 * 60_000
 /** 0.9 MB (460 bytes each, `npm run slopes -- --parts runs`). An engine that ends takes up to 64 requests with it; a zone of some 20 engines is remembered whole. */
 const MAX_RUNS = 2000
 /** Of one request. More say nothing new. */
 const MAX_RUNS_PER_CONTENT = 16
 /** All that ran on an upstream ends with it, and is noticed within this time at all boxes. Upstreams take longer to be back. */
-const SAME_END_MS = 2000
+const SAME_EXIT_WINDOW_MS = 2000
 
 /**
  * The runs that ended with their upstreams, at any box, and the runs of the same
@@ -56,7 +56,7 @@
 
   /** Takes an event in. Answers whether it was new. */
   add ({ id, end, content, caller, upstream, ageMs, ranMs }: RunEvent): boolean {
-    if (this.#ids.has(id) || ageMs >= RUN_MEMORY_MS) return false
+    if (this.#ids.has(id) || ageMs >= RUN_RETENTION_MS) return false
     const endedAtMs = this.#clock.nowMs() - ageMs
     const run: PastRun = { id, end, content, caller, upstream, beganAtMs: endedAtMs - ranMs, endedAtMs }
     const runs = this.#byContent.get(content) ?? []
@@ -65,20 +65,20 @@
     if (upstream !== undefined) this.#byUpstream.set(upstream, [...this.#byUpstream.get(upstream) ?? [], run])
     this.#ids.add(id)
     this.#digest ^= hash32(id)
-    if (runs.length >= MAX_RUNS_PER_CONTENT) this.#forget((this.#byContent.get(content) as PastRun[])[0])
-    if (this.size > MAX_RUNS) this.#makeRoom()
+    if (runs.length >= MAX_RUNS_PER_CONTENT) this.#remove((this.#byContent.get(content) as PastRun[])[0])
+    if (this.size > MAX_RUNS) this.#evictOne()
     return true
   }
 
   /** Runs of a request, the one that ended first at the beginning. */
-  of (content: string): readonly PastRun[] {
+  runsOf (content: string): readonly PastRun[] {
     return this.#byContent.get(content) ?? []
   }
 
   /** Contents of the other requests that ended with the same upstream. */
-  beside ({ content, upstream, endedAtMs }: PastRun): string[] {
-    const there = (this.#byUpstream.get(upstream ?? '') ?? []).filter((run) => Math.abs(run.endedAtMs - endedAtMs) <= SAME_END_MS)
-    return [...new Set(there.map((run) => run.content))].filter((other) => other !== content)
+  concurrentContents ({ content, upstream, endedAtMs }: PastRun): string[] {
+    const exitedTogether = (this.#byUpstream.get(upstream ?? '') ?? []).filter((run) => Math.abs(run.endedAtMs - endedAtMs) <= SAME_EXIT_WINDOW_MS)
+    return [...new Set(exitedTogether.map((run) => run.content))].filter((other) => other !== content)
   }
 
   all (): RunEvent[] {
@@ -87,18 +87,18 @@
   }
 
   expire (): void {
-    const lastMs = this.#clock.nowMs() - RUN_MEMORY_MS;
-    [...this.#byContent.values()].flat().filter(({ endedAtMs }) => endedAtMs <= lastMs).forEach((run) => this.#forget(run))
+    const lastMs = this.#clock.nowMs() - RUN_RETENTION_MS;
+    [...this.#byContent.values()].flat().filter(({ endedAtMs }) => endedAtMs <= lastMs).forEach((run) => this.#remove(run))
   }
 
   /** Requests that were at one end alone go before those that were at several, and old news before new. */
-  #makeRoom (): void {
+  #evictOne (): void {
     const fewest = Math.min(...[...this.#byContent.values()].map(({ length }) => length))
     const [runs] = [...this.#byContent.values()].filter(({ length }) => length === fewest)
-    this.#forget(runs[0])
+    this.#remove(runs[0])
   }
 
-  #forget (run: PastRun): void {
+  #remove (run: PastRun): void {
     removeFrom(this.#byContent, run.content, run)
     if (run.upstream !== undefined) removeFrom(this.#byUpstream, run.upstream, run)
     this.#ids.delete(run.id)
@@ -111,7 +111,7 @@
 }
 
 function removeFrom (groups: Map<string, PastRun[]>, key: string, run: PastRun): void {
-  const left = (groups.get(key) ?? []).filter((one) => one !== run)
-  if (left.length > 0) groups.set(key, left)
+  const remaining = (groups.get(key) ?? []).filter((one) => one !== run)
+  if (remaining.length > 0) groups.set(key, remaining)
   else groups.delete(key)
 }
--- a/request/quarantine/test/brokenRuns.ts
+++ b/request/quarantine/test/interruptedRuns.ts
@@ -1,12 +1,12 @@
 import { FleetList, type ListedUpstream, UpstreamKind } from '@reelspan/config.fleet'
-import { type BrokenRun, BrokenRuns, type EndedRun } from '@reelspan/request.quarantine'
+import { type InterruptedRun, BrokenRuns, type UpstreamExitRun } from '@reelspan/request.quarantine'
 import { Log, LogEvent, type LogFields } from '@reelspan/telemetry.log'
 import { Metrics } from '@reelspan/telemetry.metrics'
 import { UpstreamPresence, UpstreamProbe } from '@reelspan/upstream.client'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
-class KeptLog extends Log {
+class RecordingLog extends Log {
   readonly lines: (LogFields & { event: LogEvent })[] = []
 
   info (event: LogEvent, fields: LogFields = {}): void {
@@ -22,7 +22,7 @@
 
 /** Takes some ms, and counts how often it looked. */
 class CountingProbe extends UpstreamProbe {
-  looks = 0
+  checks = 0
   readonly #clock: VirtualClock
 
   constructor (clock: VirtualClock) {
@@ -31,28 +31,28 @@
   }
 
   async look (address: string): Promise<UpstreamPresence> {
-    this.looks++
+    this.checks++
     await this.#clock.sleep(5)
     return PRESENCE[address] ?? UpstreamPresence.Listens
   }
 }
 
-function startBrokenRuns () {
+function startInterruptedRuns () {
   const clock = new VirtualClock()
-  const log = new KeptLog()
+  const log = new RecordingLog()
   const probe = new CountingProbe(clock)
   const metrics = new Metrics()
   const listed: ListedUpstream[] = ['d1', 'd2', 'd3'].map((name, i) => ({ name, kind: UpstreamKind.Engine, address: `10.0.1.${i + 1}:1`, availabilityZone: 'a', pool: 'd', leaving: false }))
-  const ended: EndedRun[] = []
+  const ended: UpstreamExitRun[] = []
   const brokenRuns = new BrokenRuns({ clock, probe, log, metrics, fleet: () => new FleetList([], [...listed]), onUpstreamEnded: (run) => ended.push(run) })
-  const run = (over: Partial<BrokenRun> = {}): BrokenRun => ({ request: 'r1', route: 'draft', identity: { content: 'c', caller: 'w' }, upstream: 'd1', address: '10.0.1.1:1', sentAtMs: clock.nowMs() - 90, reason: 'ended the connection', ...over })
+  const run = (over: Partial<InterruptedRun> = {}): InterruptedRun => ({ request: 'r1', route: 'draft', identity: { content: 'c', caller: 'w' }, upstream: 'd1', address: '10.0.1.1:1', sentAtMs: clock.nowMs() - 90, reason: 'ended the connection', ...over })
   return { clock, log, probe, metrics, brokenRuns, run, listed, ended }
 }
 
 test('a broken run is told of with the request that ran, and whether its upstream has ended', async (t) => {
-  const { clock, log, metrics, brokenRuns, run } = startBrokenRuns()
-  void brokenRuns.note(run())
-  void brokenRuns.note(run({ request: 'r2', upstream: 'd2', address: '10.0.1.2:1' }))
+  const { clock, log, metrics, brokenRuns, run } = startInterruptedRuns()
+  void brokenRuns.record(run())
+  void brokenRuns.record(run({ request: 'r2', upstream: 'd2', address: '10.0.1.2:1' }))
   await clock.advance(10)
   t.like(log.lines, [
     { event: LogEvent.RunBrokeOff, request: 'r1', upstream: 'd1', presence: UpstreamPresence.Refuses, ranMs: 90, contentHash: 'c', callerHash: 'w' },
@@ -62,29 +62,29 @@
 })
 
 test('an upstream whose runs break off together is looked at once', async (t) => {
-  const { clock, log, probe, brokenRuns, run } = startBrokenRuns()
-  await clock.run(Promise.all(Array.from({ length: 64 }, (_, i) => brokenRuns.note(run({ request: `r${i}` })))))
-  t.is(probe.looks, 1)
+  const { clock, log, probe, brokenRuns, run } = startInterruptedRuns()
+  await clock.run(Promise.all(Array.from({ length: 64 }, (_, i) => brokenRuns.record(run({ request: `r${i}` })))))
+  t.is(probe.checks, 1)
   t.is(log.lines.length, 64)
 })
 
 test('only upstreams whose processes were found ended are told of as such', async (t) => {
-  const { clock, brokenRuns, run, ended } = startBrokenRuns()
-  await clock.run(Promise.all([brokenRuns.note(run()), brokenRuns.note(run({ upstream: 'd2', address: '10.0.1.2:1' })), brokenRuns.note(run({ upstream: 'd3', address: '10.0.1.3:1' }))]))
+  const { clock, brokenRuns, run, ended } = startInterruptedRuns()
+  await clock.run(Promise.all([brokenRuns.record(run()), brokenRuns.record(run({ upstream: 'd2', address: '10.0.1.2:1' })), brokenRuns.record(run({ upstream: 'd3', address: '10.0.1.3:1' }))]))
   t.deepEqual(ended.map(({ upstream }) => upstream), ['d1'])
 })
 
 test('an upstream that was silent has ended when the list drops it, unless it had said that it leaves', async (t) => {
-  const { clock, brokenRuns, run, listed, ended } = startBrokenRuns()
-  const silent = () => brokenRuns.note(run({ upstream: 'd3', address: '10.0.1.3:1' }))
+  const { clock, brokenRuns, run, listed, ended } = startInterruptedRuns()
+  const silent = () => brokenRuns.record(run({ upstream: 'd3', address: '10.0.1.3:1' }))
   await clock.run(silent())
   brokenRuns.noteFleet()
   t.deepEqual(ended, [])
-  const [gone] = listed.splice(2, 1)
+  const [removed] = listed.splice(2, 1)
   brokenRuns.noteFleet()
   brokenRuns.noteFleet()
   t.deepEqual(ended.map(({ upstream }) => upstream), ['d3'])
-  listed.push({ ...gone, leaving: true })
+  listed.push({ ...removed, leaving: true })
   await clock.run(silent())
   brokenRuns.noteFleet()
   listed.pop()
--- a/request/quarantine/test/judgeRequest.ts
+++ b/request/quarantine/test/judgeRequest.ts
@@ -1,17 +1,17 @@
 import { RunEnd, type RunEvent } from '@reelspan/core.messages'
-import { judgeRequest, MOST_ENDED, MOST_ENDED_IN_DOUBT, RunHistory } from '@reelspan/request.quarantine'
+import { judgeRequest, MAX_UPSTREAM_EXITS, MAX_UPSTREAM_EXITS_IF_AMBIGUOUS, RunHistory } from '@reelspan/request.quarantine'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 import fc from 'fast-check'
 
 const RAN_MS = 60
-const APART_MS = 900
+const INTERVAL_MS = 900
 
 let nextId = 0
 
 /** The nth of a series of ends, some time apart, the last of which was just now. */
 function end (content: string, nth: number, over: Partial<RunEvent> = {}): RunEvent {
-  return { id: `e${nextId++}`, end: RunEnd.UpstreamEnded, content, caller: 'w', upstream: `u${nth}`, ageMs: (20 - nth) * APART_MS, ranMs: RAN_MS, ...over }
+  return { id: `e${nextId++}`, end: RunEnd.UpstreamEnded, content, caller: 'w', upstream: `u${nth}`, ageMs: (20 - nth) * INTERVAL_MS, ranMs: RAN_MS, ...over }
 }
 
 function series (content: string, nths: readonly number[], over: Partial<RunEvent> = {}): RunEvent[] {
@@ -25,57 +25,57 @@
   return history
 }
 
-function isJudged (events: readonly RunEvent[], content: string, caller = 'w'): boolean {
+function isQuarantined (events: readonly RunEvent[], content: string, caller = 'w'): boolean {
   return judgeRequest(historyOf(events), { content, caller }).length > 0
 }
 
 test('a request is held for the cause after three upstreams that ended one after the other, and not before', (t) => {
-  t.false(isJudged(series('a', [1, 2]), 'a'))
-  t.true(isJudged(series('a', [1, 2, 3]), 'a'))
-  t.false(isJudged(series('a', [1, 2, 3]), 'b'))
+  t.false(isQuarantined(series('a', [1, 2]), 'a'))
+  t.true(isQuarantined(series('a', [1, 2, 3]), 'a'))
+  t.false(isQuarantined(series('a', [1, 2, 3]), 'b'))
 })
 
 test('an upstream that comes back under its name counts each time that it ends', (t) => {
-  t.true(isJudged(series('a', [1, 2, 3], { upstream: 'u' }), 'a'))
+  t.true(isQuarantined(series('a', [1, 2, 3], { upstream: 'u' }), 'a'))
 })
 
 test('upstreams that ended together count once, however many copies ran', (t) => {
-  const together = Array.from({ length: 8 }, (_, i) => end('a', 3, { upstream: `u${i}`, ageMs: 1000 + i, ranMs: 200 }))
-  t.false(isJudged(together, 'a'))
-  t.false(isJudged([...together, end('a', 19)], 'a'))
+  const simultaneous = Array.from({ length: 8 }, (_, i) => end('a', 3, { upstream: `u${i}`, ageMs: 1000 + i, ranMs: 200 }))
+  t.false(isQuarantined(simultaneous, 'a'))
+  t.false(isQuarantined([...simultaneous, end('a', 19)], 'a'))
 })
 
 test('a run that came to its end takes back what was held against its request', (t) => {
   const finished = (ageMs: number, caller = 'w') => end('a', 0, { end: RunEnd.Finished, upstream: undefined, ageMs, ranMs: 0, caller })
   const three = series('a', [1, 2, 3])
-  const afterTwo = (20 - 2) * APART_MS - 100
-  t.false(isJudged([...three, finished(0)], 'a'))
-  t.false(isJudged([...three, finished(afterTwo)], 'a'))
-  t.true(isJudged([...three, finished(20 * APART_MS)], 'a'))
-  t.true(isJudged([...three, finished(0, 'other')], 'a'), 'another caller may send it unharmed')
-  t.false(isJudged([...three, finished(0, 'other')], 'a', 'other'))
+  const afterTwo = (20 - 2) * INTERVAL_MS - 100
+  t.false(isQuarantined([...three, finished(0)], 'a'))
+  t.false(isQuarantined([...three, finished(afterTwo)], 'a'))
+  t.true(isQuarantined([...three, finished(20 * INTERVAL_MS)], 'a'))
+  t.true(isQuarantined([...three, finished(0, 'other')], 'a'), 'another caller may send it unharmed')
+  t.false(isQuarantined([...three, finished(0, 'other')], 'a', 'other'))
 })
 
 test('copies of several callers are judged together, those of one caller say nothing of others', (t) => {
-  t.true(isJudged([end('a', 1), end('a', 2, { caller: 'x' }), end('a', 3, { caller: 'y' })], 'a', 'z'))
-  t.false(isJudged(series('a', [1, 2, 3]), 'a', 'z'))
+  t.true(isQuarantined([end('a', 1), end('a', 2, { caller: 'x' }), end('a', 3, { caller: 'y' })], 'a', 'z'))
+  t.false(isQuarantined(series('a', [1, 2, 3]), 'a', 'z'))
 })
 
 test('an end is laid to the request that was at more ends', (t) => {
   const crashing = series('a', [1, 2, 3, 4, 5])
   const beside = series('b', [2, 3, 5])
-  t.true(isJudged([...crashing, ...beside], 'a'))
-  t.false(isJudged([...crashing, ...beside], 'b'))
-  t.true(isJudged([...crashing, ...beside, ...series('b', [6, 7, 8])], 'b'), 'three more without the other')
+  t.true(isQuarantined([...crashing, ...beside], 'a'))
+  t.false(isQuarantined([...crashing, ...beside], 'b'))
+  t.true(isQuarantined([...crashing, ...beside, ...series('b', [6, 7, 8])], 'b'), 'three more without the other')
 })
 
 test('two requests that were at the same ends are both in doubt, until one of them runs without the other', (t) => {
   const both = (nths: readonly number[]) => [...series('a', nths), ...series('b', nths)]
-  t.false(isJudged(both([1, 2, 3]), 'a'))
-  t.true(isJudged([...both([1, 2, 3]), end('a', 4)], 'a'))
-  t.false(isJudged([...both([1, 2, 3]), end('a', 4)], 'b'))
-  t.is(MOST_ENDED_IN_DOUBT, 5)
-  t.true(isJudged(both([1, 2, 3, 4, 5]), 'a'))
+  t.false(isQuarantined(both([1, 2, 3]), 'a'))
+  t.true(isQuarantined([...both([1, 2, 3]), end('a', 4)], 'a'))
+  t.false(isQuarantined([...both([1, 2, 3]), end('a', 4)], 'b'))
+  t.is(MAX_UPSTREAM_EXITS_IF_AMBIGUOUS, 5)
+  t.true(isQuarantined(both([1, 2, 3, 4, 5]), 'a'))
 })
 
 test('boxes that heard of the same events in any order, and more than once, believe the same', (t) => {
@@ -102,7 +102,7 @@
     const history = historyOf(runs.map(({ content, nth }) => end(content, nth)))
     return ['a', 'b', 'c', 'd'].every((content) => {
       const ends = new Set(runs.filter((run) => run.content === content).map(({ nth }) => nth)).size
-      return ends >= MOST_ENDED || judgeRequest(history, { content, caller: 'w' }).length === 0
+      return ends >= MAX_UPSTREAM_EXITS || judgeRequest(history, { content, caller: 'w' }).length === 0
     })
   }), { seed: 21, numRuns: 500 })
   t.pass()
--- a/request/quarantine/test/runHistory.ts
+++ b/request/quarantine/test/runHistory.ts
@@ -1,11 +1,11 @@
 import { RunEnd, type RunEvent } from '@reelspan/core.messages'
-import { judgeRequest, RUN_MEMORY_MS, RunHistory } from '@reelspan/request.quarantine'
+import { judgeRequest, RUN_RETENTION_MS, RunHistory } from '@reelspan/request.quarantine'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
 /** More than are remembered. */
-const FLOOD = 20_000
-const MOST_REMEMBERED = 2000
+const RUN_COUNT = 20_000
+const MAX_RUNS = 2000
 
 function end (id: string, content: string, over: Partial<RunEvent> = {}): RunEvent {
   return { id, end: RunEnd.UpstreamEnded, content, caller: 'w', upstream: id, ageMs: 0, ranMs: 50, ...over }
@@ -15,28 +15,28 @@
   const history = new RunHistory({ clock: new VirtualClock() })
   const known = [900, 600, 300].map((ageMs, i) => end(`k${i}`, 'ends', { ageMs }))
   known.forEach((event) => history.add(event))
-  Array.from({ length: FLOOD }, (_, i) => history.add(end(`f${i}`, `other-${i}`)))
-  t.is(history.size, MOST_REMEMBERED)
-  t.is(history.all().length, MOST_REMEMBERED)
+  Array.from({ length: RUN_COUNT }, (_, i) => history.add(end(`f${i}`, `other-${i}`)))
+  t.is(history.size, MAX_RUNS)
+  t.is(history.all().length, MAX_RUNS)
   t.is(judgeRequest(history, { content: 'ends', caller: 'w' }).length, 3)
 })
 
 test('a flood of one request fills its own share alone', (t) => {
   const history = new RunHistory({ clock: new VirtualClock() })
-  Array.from({ length: FLOOD }, (_, i) => history.add(end(`f${i}`, 'ends', { ageMs: FLOOD - i })))
+  Array.from({ length: RUN_COUNT }, (_, i) => history.add(end(`f${i}`, 'ends', { ageMs: RUN_COUNT - i })))
   t.true(history.size < 20)
 })
 
 test('what was long ago is forgotten, and not heard of again', (t) => {
   const clock = new VirtualClock()
   const history = new RunHistory({ clock })
-  history.add(end('a', 'ends', { ageMs: RUN_MEMORY_MS - 100 }))
+  history.add(end('a', 'ends', { ageMs: RUN_RETENTION_MS - 100 }))
   t.is(history.size, 1)
   return clock.advance(100).then(() => {
     history.expire()
     t.is(history.size, 0)
     t.is(history.digest, 0)
-    t.false(history.add(end('a', 'ends', { ageMs: RUN_MEMORY_MS })))
+    t.false(history.add(end('a', 'ends', { ageMs: RUN_RETENTION_MS })))
   })
 })
 
--- a/request/records/src/index.ts
+++ b/request/records/src/index.ts
@@ -1,3 +1,3 @@
 export { RequestRecord } from './requestRecord.js'
 export { RecordStore } from './recordStore.js'
-export type { RecordStoreOptions, PortableRecord, TakenIncarnation } from './recordStore.js'
+export type { RecordStoreOptions, ExportedRecord as PortableRecord, PredecessorIncarnation } from './recordStore.js'
--- a/request/records/src/recordStore.ts
+++ b/request/records/src/recordStore.ts
@@ -12,7 +12,7 @@
 }
 
 /** A finished record on its way to a successor. */
-export interface PortableRecord {
+export interface ExportedRecord {
   key: string
   fingerprint: string
   ageMs: number
@@ -20,7 +20,7 @@
 }
 
 /** An incarnation that stopped as planned, and its own clock's reading. */
-export interface TakenIncarnation {
+export interface PredecessorIncarnation {
   incarnation: string
   clockMs: number
 }
@@ -32,14 +32,14 @@
 interface StoredRecord {
   record: RequestRecord
   /** Room set aside while the answer grows. */
-  reservedBytes: number
+  accountedBytes: number
 }
 
 /** The records of one box. Never drops one early: near its bound, new requests are refused instead. */
 export class RecordStore {
   readonly #opts: RecordStoreOptions
   readonly #records = new Map<string, StoredRecord>()
-  readonly #taken = new Map<string, { clockMs: number, takenAtMs: number }>()
+  readonly #predecessors = new Map<string, { clockMs: number, addedAtMs: number }>()
   #bytes = 0
 
   constructor (opts: RecordStoreOptions) {
@@ -68,7 +68,7 @@
 
   /** Opens a record, with room for an answer of `answerBytes`. Throws `ERR_REELSPAN_RECORDS_FULL`. */
   open (key: string, fingerprint: string, answerBytes: number): RequestRecord {
-    this.forgetOld()
+    this.removeExpired()
     const reservedBytes = RECORD_OVERHEAD_BYTES + 2 * key.length + answerBytes
     if (this.#bytes + reservedBytes > this.#opts.maxBytes) {
       throw new ReelspanError(ErrorCode.RecordsFull, 'this box has no room for another record', {
@@ -77,7 +77,7 @@
       })
     }
     const record = new RequestRecord(key, fingerprint, this.#opts.clock.nowMs())
-    this.#records.set(key, { record, reservedBytes })
+    this.#records.set(key, { record, accountedBytes: reservedBytes })
     this.#bytes += reservedBytes
     return record
   }
@@ -87,20 +87,20 @@
     const stored = this.#records.get(key)
     if (!stored) return
     const usedBytes = RECORD_OVERHEAD_BYTES + 2 * key.length + stored.record.bytes
-    this.#bytes += usedBytes - stored.reservedBytes
-    stored.reservedBytes = usedBytes
+    this.#bytes += usedBytes - stored.accountedBytes
+    stored.accountedBytes = usedBytes
   }
 
   /** Forgets a request that is known not to have run, so that its key may be used again. */
-  drop (key: string): void {
+  remove (key: string): void {
     const stored = this.#records.get(key)
     if (!stored) return
-    this.#bytes -= stored.reservedBytes
+    this.#bytes -= stored.accountedBytes
     this.#records.delete(key)
   }
 
   /** Finished records, for a successor. */
-  export (): PortableRecord[] {
+  export (): ExportedRecord[] {
     const nowMs = this.#opts.clock.nowMs()
     return this.all()
       .filter(({ final }) => final)
@@ -113,7 +113,7 @@
   }
 
   /** Takes over a part of the records of incarnations that stopped as planned. Throws when there is no room. */
-  import (records: readonly PortableRecord[]): void {
+  import (records: readonly ExportedRecord[]): void {
     const nowMs = this.#opts.clock.nowMs()
     records
       .filter(({ key }) => !this.#records.has(key))
@@ -125,14 +125,14 @@
   }
 
   /** All records of these incarnations are here: a young key of theirs without a record never ran. */
-  markTaken (incarnations: readonly TakenIncarnation[]): void {
+  markTaken (incarnations: readonly PredecessorIncarnation[]): void {
     const nowMs = this.#opts.clock.nowMs()
-    incarnations.forEach(({ incarnation, clockMs }) => this.#taken.set(incarnation, { clockMs, takenAtMs: nowMs }))
+    incarnations.forEach(({ incarnation, clockMs }) => this.#predecessors.set(incarnation, { clockMs, addedAtMs: nowMs }))
   }
 
   /** Incarnations whose records were all taken over, with their clocks as of now. */
-  taken (): TakenIncarnation[] {
-    return [...this.#taken.keys()].map((incarnation) => ({ incarnation, clockMs: this.clockOf(incarnation) as number }))
+  taken (): PredecessorIncarnation[] {
+    return [...this.#predecessors.keys()].map((incarnation) => ({ incarnation, clockMs: this.clockOf(incarnation) as number }))
   }
 
   /**
@@ -141,18 +141,18 @@
    * reading plus the time that has passed here.
    */
   clockOf (incarnation: string): number | undefined {
-    const taken = this.#taken.get(incarnation)
-    return taken && taken.clockMs + this.#opts.clock.nowMs() - taken.takenAtMs
+    const predecessor = this.#predecessors.get(incarnation)
+    return predecessor && predecessor.clockMs + this.#opts.clock.nowMs() - predecessor.addedAtMs
   }
 
   /** Forgets finished records that have outlived every retry. */
-  forgetOld (): void {
+  removeExpired (): void {
     const oldestMs = this.#opts.clock.nowMs() - this.#opts.recordLifeMs
     // Insertion order is close to finishing order, so the scan ends early.
     for (const [key, { record }] of this.#records) {
       if (record.finishedAtMs === undefined) continue
       if (record.finishedAtMs > oldestMs) break
-      this.drop(key)
+      this.remove(key)
     }
   }
 }
--- a/request/records/src/requestRecord.ts
+++ b/request/records/src/requestRecord.ts
@@ -10,7 +10,7 @@
   readonly fingerprint: string
   readonly createdAtMs: number
   readonly #events: AnswerEvent[] = []
-  readonly #grown = new Notifier()
+  readonly #changed = new Notifier()
   #bytes = 0
   #readers = 0
   #final?: FinalAnswer
@@ -51,34 +51,34 @@
       this.#final = event
       this.#finishedAtMs = nowMs
     }
-    this.#grown.notify()
+    this.#changed.notify()
     return true
   }
 
   /** Events from a position on, to the final one. */
   async * read (fromEvent: number, signal: AbortSignal): AsyncGenerator<AnswerEvent> {
     this.#readers++
-    this.#grown.notify()
+    this.#changed.notify()
     try {
       for (let next = fromEvent; !signal.aborted; next++) {
-        while (next >= this.#events.length && !this.#final && !signal.aborted) await this.#grown.wait(signal)
+        while (next >= this.#events.length && !this.#final && !signal.aborted) await this.#changed.wait(signal)
         if (next >= this.#events.length) return
         yield this.#events[next]
       }
     } finally {
       this.#readers--
-      this.#grown.notify()
+      this.#changed.notify()
     }
   }
 
   /** Resolves once the record is final, or nobody reads it, or the signal is aborted. */
-  async waitUnread (signal: AbortSignal): Promise<void> {
-    while (this.#readers > 0 && !this.#final && !signal.aborted) await this.#grown.wait(signal)
+  async waitUntilUnread (signal: AbortSignal): Promise<void> {
+    while (this.#readers > 0 && !this.#final && !signal.aborted) await this.#changed.wait(signal)
   }
 
   /** Resolves once someone reads it or it is final, or the signal is aborted. */
-  async waitRead (signal: AbortSignal): Promise<void> {
-    while (this.#readers === 0 && !this.#final && !signal.aborted) await this.#grown.wait(signal)
+  async waitUntilRead (signal: AbortSignal): Promise<void> {
+    while (this.#readers === 0 && !this.#final && !signal.aborted) await this.#changed.wait(signal)
   }
 }
 
--- a/request/relay/src/completionPlacer.ts
+++ b/request/relay/src/completionPlacer.ts
@@ -6,19 +6,19 @@
 import { type PromptSizes } from '@reelspan/upstream.client'
 import { WaitReason } from '@reelspan/upstream.limits'
 import { type EventProgress } from './eventProgress.js'
-import { type PermittedPlacement, refuseUnplaced, takeEnginePermits } from './permittedPlacement.js'
+import { type PermittedPlacement, noPlacementError, acquireEnginePermits } from './permittedPlacement.js'
 import { type RelayContext } from './relayContext.js'
-import { SendWaits } from './sendWaits.js'
+import { BlockedUpstreams } from './blockedUpstreams.js'
 
 /** Callers give a stream up that has not begun after four latency targets; the last of them is for the way, and for what an estimate misses. */
-const PATIENCE_TARGETS = 3
+const MAX_WAIT_TARGETS = 3
 /** Waits between tries to continue an answer that has begun. */
 const CONTINUE_BACKOFF_MS = 100
 /** A stream that stands still for longer than this is given up by its client. */
-const CONTINUE_WITHIN_MS = 2000
+const CONTINUE_TIMEOUT_MS = 2000
 
 /** What a placement depends on, as the request goes on. */
-export interface PlacingState {
+export interface PlacementState {
   /** Engines that failed the request. */
   failed: ReadonlySet<string>
   progress: EventProgress
@@ -29,12 +29,12 @@
   readonly #context: RelayContext
   readonly #model: string
   readonly #prompt: PromptSizes
-  readonly #state: PlacingState
+  readonly #state: PlacementState
   /** Engines that had no permit when the request was placed there. */
-  readonly #waits = new SendWaits()
+  readonly #blocked = new BlockedUpstreams()
   #placements = 0
 
-  constructor (context: RelayContext, model: string, prompt: PromptSizes, state: PlacingState) {
+  constructor (context: RelayContext, model: string, prompt: PromptSizes, state: PlacementState) {
     this.#context = context
     this.#model = model
     this.#prompt = prompt
@@ -42,35 +42,35 @@
   }
 
   /** Tokens of the answer that the caller has. */
-  doneTokens (): number {
+  deliveredTokens (): number {
     return this.#state.progress.events * (this.#context.opts.configuration().model(this.#model)?.tokensPerEvent ?? 1)
   }
 
   /** An engine without a permit is no failure: the request is placed without it, which is no attempt. */
   async place (attempt: number): Promise<PermittedPlacement> {
-    this.#waits.clear()
+    this.#blocked.clear()
     for (;;) {
-      const placement = await this.#askUntilPlaced(attempt)
-      const permits = await takeEnginePermits(this.#context, placement, this.#waits)
+      const placement = await this.#obtainPlacement(attempt)
+      const permits = await acquireEnginePermits(this.#context, placement, this.#blocked)
       if (permits) return { placement, permits }
     }
   }
 
-  async #askUntilPlaced (attempt: number): Promise<Placement> {
-    const { opts, run, caller, decided } = this.#context
+  async #obtainPlacement (attempt: number): Promise<Placement> {
+    const { opts, run, caller, logDecision } = this.#context
     const askedAtMs = run.elapsedMs
-    let outcome = await this.#askPlacer(attempt)
+    let outcome = await this.#callPlacer(attempt)
     while (!('plan' in outcome)) {
       // An answer that has begun is continued late rather than cut.
       if (!caller.begun) throw this.#refusal(outcome)
       await opts.clock.sleep(CONTINUE_BACKOFF_MS, { signal: run.signal })
-      this.#waits.clear()
+      this.#blocked.clear()
       run.throwIfEnded()
-      outcome = await this.#askPlacer(attempt)
+      outcome = await this.#callPlacer(attempt)
     }
     const { plan: { prefillEngine, decodeEngine, expectedTtftMs }, placedBy } = outcome
     const { promptTokens, maxTokens, expectedTokens } = this.#prompt
-    decided(LogEvent.RequestPlaced, {
+    logDecision(LogEvent.RequestPlaced, {
       attempt,
       promptTokens,
       maxTokens,
@@ -88,20 +88,20 @@
   #refusal (refusal: PlacementRefusal): ReelspanError {
     const { configuration } = this.#context.opts
     const model = configuration().model(this.#model)
-    if (model) [model.prefillPool, model.decodePool].forEach((pool) => this.#addBackoffsOf(pool))
-    return refuseUnplaced(this.#context, this.#model, refusal, this.#waits)
+    if (model) [model.prefillPool, model.decodePool].forEach((pool) => this.#addBackoffs(pool))
+    return noPlacementError(this.#context, this.#model, refusal, this.#blocked)
   }
 
   /** Backoffs are why there is no place where all engines of a pool ask this box to wait. */
-  #addBackoffsOf (pool: string): void {
+  #addBackoffs (pool: string): void {
     const { fleet, backoffs } = this.#context.opts
     const engines = fleet().takingWork(pool).map(({ name }) => ({ name, durationMs: backoffs.remainingMs(name) }))
     if (engines.some(({ durationMs }) => durationMs === 0)) return
-    engines.forEach(({ name, durationMs }) => this.#waits.add(name, { reason: WaitReason.Backoff, durationMs }))
+    engines.forEach(({ name, durationMs }) => this.#blocked.add(name, { reason: WaitReason.Backoff, durationMs }))
   }
 
   /** A place that is found for a run that has ended is given back. */
-  async #askPlacer (attempt: number): Promise<Placement | PlacementRefusal> {
+  async #callPlacer (attempt: number): Promise<Placement | PlacementRefusal> {
     const { opts, run } = this.#context
     const outcome = await opts.placer.place(this.#placeRequest(attempt), { signal: run.signal })
     if (run.signal.aborted && 'plan' in outcome) outcome.release()
@@ -112,11 +112,11 @@
   #placeRequest (attempt: number): PlaceRequest {
     const { opts, run, route, request, caller, health, urgency } = this.#context
     const { promptTokens, maxTokens, prefixes } = this.#prompt
-    const doneTokens = this.doneTokens()
+    const deliveredTokens = this.deliveredTokens()
     // The prompt is not read once more when the answer could not be whole in time. A first try is never refused for an estimate.
-    const usefulMs = attempt > 1 ? run.leftMs - this.#leastRestMs(doneTokens) : run.leftMs
+    const usefulMs = attempt > 1 ? run.remainingMs - this.#minRemainingDecodeMs(deliveredTokens) : run.remainingMs
     const { peerAddress, incarnation, availabilityZone } = opts.standing()
-    const label: HoldLabel = { ownerAddress: peerAddress, ownerIncarnation: incarnation, requestId: `${request.id}.${++this.#placements}`, maxHoldMs: run.leftMs }
+    const label: HoldLabel = { ownerAddress: peerAddress, ownerIncarnation: incarnation, requestId: `${request.id}.${++this.#placements}`, maxHoldMs: run.remainingMs }
     return {
       model: this.#model,
       client: '',
@@ -124,21 +124,21 @@
       // A caller's retry has an id of its own, but its prompt ends in the same part.
       returnId: prefixes.at(-1)?.digest ?? hash32(request.id).toString(36),
       priority: -urgency,
-      promptTokens: promptTokens + doneTokens,
+      promptTokens: promptTokens + deliveredTokens,
       prefixes: [...prefixes],
-      maxTokens: Math.max(1, maxTokens - doneTokens),
-      ttftLeftMs: Math.min(usefulMs, caller.begun ? CONTINUE_WITHIN_MS : route.spec.ttftTargetMs - run.elapsedMs),
-      patienceMs: Math.min(usefulMs, caller.begun ? CONTINUE_WITHIN_MS : PATIENCE_TARGETS * route.spec.ttftTargetMs - run.elapsedMs),
+      maxTokens: Math.max(1, maxTokens - deliveredTokens),
+      ttftLeftMs: Math.min(usefulMs, caller.begun ? CONTINUE_TIMEOUT_MS : route.spec.ttftTargetMs - run.elapsedMs),
+      patienceMs: Math.min(usefulMs, caller.begun ? CONTINUE_TIMEOUT_MS : MAX_WAIT_TARGETS * route.spec.ttftTargetMs - run.elapsedMs),
       tbtTargetMs: route.spec.tbtTargetMs,
-      deadlineMs: run.leftMs,
+      deadlineMs: run.remainingMs,
       allowsOwnPrefill: true,
       availabilityZone,
-      avoid: [...new Set([...this.#state.failed, ...health.suspects(), ...this.#waits.upstreams(), ...opts.backoffs.upstreams()])],
+      avoid: [...new Set([...this.#state.failed, ...health.suspects(), ...this.#blocked.names(), ...opts.backoffs.upstreams()])],
     }
   }
 
   /** The least time for the tokens that are missing, by the caller's own estimate of the answer. */
-  #leastRestMs (doneTokens: number): number {
+  #minRemainingDecodeMs (doneTokens: number): number {
     const stepMs = this.#context.opts.configuration().model(this.#model)?.decodeStepBaseMs ?? 0
     const { maxTokens, expectedTokens = 0 } = this.#prompt
     return Math.max(0, Math.min(expectedTokens, maxTokens) - doneTokens) * stepMs
--- a/request/relay/src/completionRelay.ts
+++ b/request/relay/src/completionRelay.ts
@@ -6,27 +6,27 @@
 import { type PrefillSource, type PromptSizes, type RelayAnswer, type RelayTarget, UpstreamError } from '@reelspan/upstream.client'
 import { type SendPermit } from '@reelspan/upstream.limits'
 import { CompletionPlacer } from './completionPlacer.js'
-import { dropAnswer } from './dropAnswer.js'
+import { drainAnswer } from './drainAnswer.js'
 import { EventProgress } from './eventProgress.js'
-import { notingBreak, type SendingWork } from './notingBreak.js'
+import { withInterruptionReport, type SendingWork } from './withInterruptionReport.js'
 import { type AnswerTimes } from './passAnswer.js'
 import { passEvents } from './passEvents.js'
 import { type PermittedPlacement } from './permittedPlacement.js'
-import { takePermit } from './pickPermitted.js'
+import { acquirePermit } from './pickPermittedUpstream.js'
 import { type RelayContext } from './relayContext.js'
 import { prefillAtUpstream, sendToUpstream } from './sendToUpstream.js'
-import { SilenceWatch } from './silenceWatch.js'
+import { IdleTimer } from './idleTimer.js'
 
 /** Placements tried for one request, however many of them reached an engine. */
-const MAX_TRIES = 4
+const MAX_ATTEMPTS = 4
 /** Freeing a handle is tried once; the engine frees it by itself soon after. */
 const FREE_TIMEOUT_MS = 500
 const OK = 200
 /** A prefill that takes this much longer than its estimate, and the time below, is given up: its answer is lost, or its engine hangs. */
-const PREFILL_PATIENCE = 2
-const PREFILL_PATIENCE_MS = 300
+const PREFILL_TIMEOUT_FACTOR = 2
+const PREFILL_TIMEOUT_MARGIN_MS = 300
 /** A stream that another engine could go on with is given up after this many targets for the time between events. */
-const DECODE_PATIENCE = 2
+const DECODE_IDLE_TIMEOUT_TARGETS = 2
 const FIRST_SERVER_ERROR = 500
 
 /** Relays a request to a model's engines: place, prefill, decode. */
@@ -34,56 +34,56 @@
   readonly #context: RelayContext
   readonly #model: string
   readonly #prompt: PromptSizes
-  readonly #failed = new Set<string>()
+  readonly #failedEngines = new Set<string>()
   readonly #progress = new EventProgress()
   readonly #placer: CompletionPlacer
   /** How the engines of the present placement answered. */
   #outcomes: EngineOutcome[] = []
   /** Decode engines that the request was sent to. */
-  readonly #decodedAt = new Set<string>()
+  readonly #decodeEngines = new Set<string>()
   /** The last answer broke off, or did not come, while its engine was listened to. */
-  #brokeOff = false
+  #interrupted = false
   #prefillMs = 0
 
   constructor (context: RelayContext, model: string, prompt: PromptSizes) {
     this.#context = context
     this.#model = model
     this.#prompt = prompt
-    this.#placer = new CompletionPlacer(context, model, prompt, { failed: this.#failed, progress: this.#progress })
+    this.#placer = new CompletionPlacer(context, model, prompt, { failed: this.#failedEngines, progress: this.#progress })
   }
 
-  async carryOut (times: AnswerTimes): Promise<void> {
-    const { run, decided } = this.#context
+  async execute (times: AnswerTimes): Promise<void> {
+    const { run, logDecision } = this.#context
     for (let attempt = 1; ; attempt++) {
       await run.checkBeforeSend()
       const placed = await this.#placer.place(attempt)
       try {
-        await this.#carryOutPlaced(placed, times)
+        await this.#executePlacement(placed, times)
         return
       } catch (thrown) {
         run.throwIfEnded()
         if (!this.#mayRetry(thrown, attempt)) throw thrown
-        decided(LogEvent.RequestRetried, { attempt, reason: (thrown as Error).message, mayHaveRun: run.mayHaveRun })
+        logDecision(LogEvent.RequestRetried, { attempt, reason: (thrown as Error).message, mayHaveRun: run.mayHaveRun })
       }
     }
   }
 
   #mayRetry (thrown: unknown, attempt: number): boolean {
     const { run, route, budget } = this.#context
-    if (!(thrown instanceof UpstreamError) || attempt >= MAX_TRIES) return false
-    if (!this.#mayTakeUp()) return false
+    if (!(thrown instanceof UpstreamError) || attempt >= MAX_ATTEMPTS) return false
+    if (!this.#canResume()) return false
     if (run.mayHaveRun && !route.spec.resumable) return false
-    if (this.#decodedAt.size >= route.spec.maxAttempts) return false
-    return budget.takeRetry()
+    if (this.#decodeEngines.size >= route.spec.maxAttempts) return false
+    return budget.tryAcquireRetry()
   }
 
-  async #carryOutPlaced ({ placement, permits }: PermittedPlacement, times: AnswerTimes): Promise<void> {
+  async #executePlacement ({ placement, permits }: PermittedPlacement, times: AnswerTimes): Promise<void> {
     const { opts, run } = this.#context
     const { plan } = placement
     const placedAtMs = opts.clock.nowMs()
     let report: PlacementReport | undefined
     let source: PrefillSource | undefined
-    let taken = false
+    let handleConsumed = false
     this.#outcomes = []
     try {
       await opts.clock.sleep(plan.startInMs, { signal: run.signal })
@@ -100,13 +100,13 @@
         this.#checkMaySend(plan.decodeEngine)
       }
       await this.#decode({ placement, permits }, source, times)
-      taken = true
+      handleConsumed = true
       report = this.#report(plan, placedAtMs - (opts.clock.nowMs() - run.elapsedMs), times)
     } finally {
       placement.release(report, this.#outcomes)
       permits.prefill.release()
       permits.decode.release()
-      if (source && !taken) this.#free(source)
+      if (source && !handleConsumed) this.#freeHandle(source)
     }
   }
 
@@ -115,7 +115,7 @@
     const { opts } = this.#context
     const backoffMs = opts.backoffs.remainingMs(engine)
     if (opts.fleet().takesWork(engine) && backoffMs === 0) return
-    this.#failed.add(engine)
+    this.#failedEngines.add(engine)
     const reason = backoffMs > 0 ? `asked this box to wait for ${Math.ceil(backoffMs)} ms more` : `takes no more work, by revision ${storeRevisionOf(opts.fleetRevision()).revision} of the list`
     throw new UpstreamError(`${engine} ${reason}`, { mayHaveRun: false, refused: true })
   }
@@ -123,21 +123,21 @@
   async #prefill (plan: PlacementPlan, permit: SendPermit): Promise<PrefillSource> {
     const { run } = this.#context
     const target = { instance: plan.prefillEngine, address: plan.prefillAddress }
-    const patienceMs = PREFILL_PATIENCE_MS + PREFILL_PATIENCE * plan.expectedTtftMs
-    const { handle } = await this.#blame(target, (onSend) => this.#unlessSilent(patienceMs, ({ signal }) =>
-      prefillAtUpstream(this.#context, { target, permit }, { signal, deadlineMs: run.leftMs, onSend })))
-    this.#note(plan.prefillEngine, UpstreamOutcome.Answered)
+    const timeoutMs = PREFILL_TIMEOUT_MARGIN_MS + PREFILL_TIMEOUT_FACTOR * plan.expectedTtftMs
+    const { handle } = await this.#trackFailure(target, (onSend) => this.#withIdleTimer(timeoutMs, ({ signal }) =>
+      prefillAtUpstream(this.#context, { target, permit }, { signal, deadlineMs: run.remainingMs, onSend })))
+    this.#recordOutcome(plan.prefillEngine, UpstreamOutcome.Answered)
     return { address: plan.prefillAddress, handle }
   }
 
   /** Gives work up that is not heard of for too long. */
-  async #unlessSilent<T> (patienceMs: number, work: (watch: SilenceWatch) => Promise<T>, mayGiveUp?: () => boolean): Promise<T> {
+  async #withIdleTimer<T> (timeoutMs: number, work: (watch: IdleTimer) => Promise<T>, mayExpire?: () => boolean): Promise<T> {
     const { opts, run } = this.#context
-    const watch = new SilenceWatch(opts.clock, patienceMs, run.signal, mayGiveUp)
+    const idleTimer = new IdleTimer(opts.clock, timeoutMs, run.signal, mayExpire)
     try {
-      return await work(watch)
+      return await work(idleTimer)
     } finally {
-      watch.stop()
+      idleTimer.stop()
     }
   }
 
@@ -147,18 +147,18 @@
    * its place is still reserved, and what it read of the prompt is most often still in its memory.
    */
   async #decode ({ placement, permits }: PermittedPlacement, source: PrefillSource | undefined, times: AnswerTimes): Promise<void> {
-    const { budget, decided, run } = this.#context
+    const { budget, logDecision, run } = this.#context
     const { plan } = placement
     try {
       await this.#decodeOnce(placement, permits.decode, source, times)
     } catch (thrown) {
       run.throwIfEnded()
-      if (!this.#mayAskAgain(plan, thrown, source)) throw thrown
-      const permit = await takePermit(this.#context, plan.decodeEngine)
+      if (!this.#mayRetryAtEngine(plan, thrown, source)) throw thrown
+      const permit = await acquirePermit(this.#context, plan.decodeEngine)
       if (!permit.granted) throw thrown
       try {
-        if (!budget.takeRetry()) throw thrown
-        decided(LogEvent.RequestRetried, { upstream: plan.decodeEngine, reason: (thrown as Error).message, mayHaveRun: run.mayHaveRun })
+        if (!budget.tryAcquireRetry()) throw thrown
+        logDecision(LogEvent.RequestRetried, { upstream: plan.decodeEngine, reason: (thrown as Error).message, mayHaveRun: run.mayHaveRun })
         await run.checkBeforeSend()
         await this.#decodeOnce(placement, permit, undefined, times)
       } finally {
@@ -168,29 +168,29 @@
   }
 
   /** Not after silence, which may be the engine's, and not after an answer that is a failure. */
-  #mayAskAgain (plan: PlacementPlan, thrown: unknown, source: PrefillSource | undefined): boolean {
+  #mayRetryAtEngine (plan: PlacementPlan, thrown: unknown, source: PrefillSource | undefined): boolean {
     const { opts, run, route } = this.#context
     const computesPrompts = opts.configuration().model(this.#model)?.decodePrefillTokensPerSecond !== undefined
     if (!(thrown instanceof UpstreamError) || !computesPrompts || !opts.fleet().takesWork(plan.decodeEngine)) return false
     if (thrown.refused) return source !== undefined
-    return this.#brokeOff && (route.spec.resumable || !run.mayHaveRun) && this.#mayTakeUp()
+    return this.#interrupted && (route.spec.resumable || !run.mayHaveRun) && this.#canResume()
   }
 
   async #decodeOnce (placement: Placement, permit: SendPermit, source: PrefillSource | undefined, times: AnswerTimes): Promise<void> {
     const { run, request, route } = this.#context
     const { plan } = placement
-    this.#brokeOff = false
-    const wasSentBefore = this.#decodedAt.has(plan.decodeEngine)
-    this.#decodedAt.add(plan.decodeEngine)
+    this.#interrupted = false
+    const wasSentBefore = this.#decodeEngines.has(plan.decodeEngine)
+    this.#decodeEngines.add(plan.decodeEngine)
     let sent = false
     // An engine that reads the prompt first is silent for that time as well.
-    const readMs = source === undefined ? PREFILL_PATIENCE * plan.expectedTtftMs : 0
-    const patienceMs = this.#isRepeatable() ? DECODE_PATIENCE * route.spec.tbtTargetMs + readMs : Number.POSITIVE_INFINITY
+    const promptMs = source === undefined ? PREFILL_TIMEOUT_FACTOR * plan.expectedTtftMs : 0
+    const timeoutMs = this.#hasAttemptsLeft() ? DECODE_IDLE_TIMEOUT_TARGETS * route.spec.tbtTargetMs + promptMs : Number.POSITIVE_INFINITY
     const target = { instance: plan.decodeEngine, address: plan.decodeAddress }
-    await this.#blame(target, (onSend) => this.#unlessSilent(patienceMs, (watch) => this.#notingBreaks(watch, async () => {
+    await this.#trackFailure(target, (onSend) => this.#withIdleTimer(timeoutMs, (idleTimer) => this.#trackInterruption(idleTimer, async () => {
       const answer = await sendToUpstream(this.#context, { target, permit }, {
-        signal: watch.signal,
-        deadlineMs: run.leftMs,
+        signal: idleTimer.signal,
+        deadlineMs: run.remainingMs,
         source,
         urgency: this.#context.urgency,
         resumeAfter: this.#progress.lastId ?? request.resumeAfter,
@@ -199,89 +199,89 @@
           onSend()
         },
       })
-      watch.heard()
-      await this.#judge(plan, answer, placement, times, watch)
-    }), () => this.#mayDecodeAgain())).catch((thrown: unknown) => {
+      idleTimer.reset()
+      await this.#handleAnswer(plan, answer, placement, times, idleTimer)
+    }), () => this.#mayRetryElsewhere())).catch((thrown: unknown) => {
       // An engine that took no connection has had nothing of the request, which may go to another one in its place.
-      if (!sent && !wasSentBefore) this.#decodedAt.delete(plan.decodeEngine)
+      if (!sent && !wasSentBefore) this.#decodeEngines.delete(plan.decodeEngine)
       throw thrown
     })
   }
 
   /** Notes when an exchange ends before its answer does, other than by being given up. */
-  async #notingBreaks (watch: SilenceWatch, work: () => Promise<void>): Promise<void> {
+  async #trackInterruption (idleTimer: IdleTimer, work: () => Promise<void>): Promise<void> {
     try {
       await work()
     } catch (thrown) {
-      this.#brokeOff = thrown instanceof UpstreamError && !thrown.refused && !thrown.failed && !watch.signal.aborted
+      this.#interrupted = thrown instanceof UpstreamError && !thrown.refused && !thrown.failed && !idleTimer.signal.aborted
       throw thrown
     }
   }
 
   /** Whether another engine could go on now if this one failed. */
-  #mayDecodeAgain (): boolean {
-    return this.#isRepeatable() && this.#context.budget.left >= 1 && this.#mayTakeUp()
+  #mayRetryElsewhere (): boolean {
+    return this.#hasAttemptsLeft() && this.#context.budget.left >= 1 && this.#canResume()
   }
 
   /** Whether the request may be sent to one more decode engine as long as there is budget for it. */
-  #isRepeatable (): boolean {
+  #hasAttemptsLeft (): boolean {
     const { resumable, maxAttempts } = this.#context.route.spec
-    return resumable && this.#decodedAt.size < maxAttempts
+    return resumable && this.#decodeEngines.size < maxAttempts
   }
 
   /** What has no numbered event yet cannot be taken up behind it. */
-  #mayTakeUp (): boolean {
+  #canResume (): boolean {
     return !this.#context.caller.begun || this.#progress.lastId !== undefined || this.#progress.events === 0
   }
 
-  async #judge (plan: PlacementPlan, answer: RelayAnswer, placement: Placement, times: AnswerTimes, watch: SilenceWatch): Promise<void> {
-    const { run, route, caller, decided } = this.#context
-    decided(LogEvent.RequestSent, { upstream: plan.decodeEngine, status: answer.status, prefillMs: Math.round(this.#prefillMs), atMs: Math.round(run.elapsedMs) })
+  async #handleAnswer (plan: PlacementPlan, answer: RelayAnswer, placement: Placement, times: AnswerTimes, idleTimer: IdleTimer): Promise<void> {
+    const { run, route, caller, logDecision } = this.#context
+    logDecision(LogEvent.RequestSent, { upstream: plan.decodeEngine, status: answer.status, prefillMs: Math.round(this.#prefillMs), atMs: Math.round(run.elapsedMs) })
     const failed = answer.status >= FIRST_SERVER_ERROR
-    if (caller.begun ? answer.status !== OK : failed && this.#mayDecodeAgain()) {
-      void dropAnswer(answer)
+    if (caller.begun ? answer.status !== OK : failed && this.#mayRetryElsewhere()) {
+      void drainAnswer(answer)
       throw new UpstreamError(`${plan.decodeEngine} answered ${answer.status}`, { mayHaveRun: true, failed: true })
     }
     placement.progressed(1)
     const onFirst = isOwnPrefill(plan) ? () => placement.prefilled() : undefined
-    await passEvents(this.#context, answer, times, { progress: this.#progress, wholeEvents: route.spec.resumable, watch, onFirst })
-    this.#note(plan.decodeEngine, failed ? UpstreamOutcome.Failed : UpstreamOutcome.Answered)
+    await passEvents(this.#context, answer, times, { progress: this.#progress, wholeEvents: route.spec.resumable, idleTimer, onFirst })
+    this.#recordOutcome(plan.decodeEngine, failed ? UpstreamOutcome.Failed : UpstreamOutcome.Answered)
   }
 
   /** Remembers an engine that failed, so that the next attempt goes elsewhere. */
-  async #blame<T> (target: RelayTarget, work: SendingWork<T>): Promise<T> {
+  async #trackFailure<T> (target: RelayTarget, work: SendingWork<T>): Promise<T> {
     const engine = target.instance
     try {
-      return await notingBreak(this.#context, target, work)
+      return await withInterruptionReport(this.#context, target, work)
     } catch (thrown) {
       if (thrown instanceof UpstreamError && !this.#context.run.signal.aborted) {
-        this.#failed.add(engine)
+        this.#failedEngines.add(engine)
         // An engine that refuses is not broken, but a bad choice, which its scheduler learns from.
         if (thrown.refused) this.#outcomes.push({ engine, outcome: UpstreamOutcome.Failed })
-        else this.#note(engine, thrown.unreachable ? UpstreamOutcome.Unreachable : UpstreamOutcome.Failed)
+        else this.#recordOutcome(engine, thrown.unreachable ? UpstreamOutcome.Unreachable : UpstreamOutcome.Failed)
       }
       throw thrown
     }
   }
 
-  #note (engine: string, outcome: UpstreamOutcome): void {
+  #recordOutcome (engine: string, outcome: UpstreamOutcome): void {
     this.#outcomes.push({ engine, outcome })
     this.#context.health.note(engine, outcome, [])
   }
 
   #report (plan: PlacementPlan, placedAtMs: number, { firstMs = 0, pausesMs }: AnswerTimes): PlacementReport {
     return {
-      completionTokens: this.#placer.doneTokens(),
+      completionTokens: this.#placer.deliveredTokens(),
       ttftErrorMs: firstMs - placedAtMs - plan.expectedTtftMs,
       tbtP50Ms: percentile(pausesMs, 50) ?? 0,
     }
   }
 
   /** Not waited for: what is not freed lapses soon. */
-  #free (source: PrefillSource): void {
-    const { opts, decided } = this.#context
+  #freeHandle (source: PrefillSource): void {
+    const { opts, logDecision } = this.#context
     opts.metrics.count('reelspan_wasted_prefill_tokens_total', {}, this.#prompt.promptTokens)
     opts.upstreams.free(source, { timeoutMs: FREE_TIMEOUT_MS }).catch((thrown: unknown) =>
-      decided(LogEvent.HandleLeft, { upstream: source.address, reason: String(thrown) }))
+      logDecision(LogEvent.HandleLeft, { upstream: source.address, reason: String(thrown) }))
   }
 }
--- a/request/relay/src/eventProgress.ts
+++ b/request/relay/src/eventProgress.ts
@@ -6,7 +6,7 @@
 
 /** How far a stream of events has come. Splits bytes at the ends of events. */
 export class EventProgress {
-  #rest: Uint8Array = new Uint8Array()
+  #incomplete: Uint8Array = new Uint8Array()
   #events = 0
   #lastId?: string
 
@@ -21,25 +21,25 @@
   }
 
   /** Takes bytes in and answers those that complete events. What stands behind them is kept for the next time. */
-  take (bytes: Uint8Array): Uint8Array {
-    const all = this.#rest.byteLength === 0 ? bytes : Buffer.concat([this.#rest, bytes])
+  push (bytes: Uint8Array): Uint8Array {
+    const all = this.#incomplete.byteLength === 0 ? bytes : Buffer.concat([this.#incomplete, bytes])
     let from = 0
     for (let end = endOfEvent(all, from); end > 0; end = endOfEvent(all, from)) {
-      this.#note(Buffer.from(all.subarray(from, end)).toString())
+      this.#recordEvent(Buffer.from(all.subarray(from, end)).toString())
       from = end
     }
-    this.#rest = all.subarray(from)
+    this.#incomplete = all.subarray(from)
     return all.subarray(0, from)
   }
 
   /** Bytes behind the last whole event. They are given out once. */
-  takeRest (): Uint8Array {
-    const rest = this.#rest
-    this.#rest = new Uint8Array()
+  flush (): Uint8Array {
+    const rest = this.#incomplete
+    this.#incomplete = new Uint8Array()
     return rest
   }
 
-  #note (event: string): void {
+  #recordEvent (event: string): void {
     this.#events++
     const ids = event.split(/\r?\n/).flatMap((line) => ID_FIELD.exec(line)?.[1] ?? [])
     this.#lastId = ids.at(-1) ?? this.#lastId
--- /dev/null
+++ b/request/relay/src/idleTimer.ts
@@ -0,0 +1,68 @@
+import { type Clock, STOPPED } from '@reelspan/core.env'
+
+/** Aborts its signal when nothing was heard for a while, or when what it belongs to ends. */
+export class IdleTimer {
+  readonly #clock: Clock
+  readonly #expired = new AbortController()
+  readonly #stopped = new AbortController()
+  #lastActivityMs: number
+  #pauses = 0
+
+  readonly #parentSignal: AbortSignal
+  readonly #mayExpire: () => boolean
+  readonly #expire = () => this.#expired.abort(STOPPED)
+
+  /**
+   * @param parentSignal aborted when the work that is watched is of no use any more
+   * @param mayExpire whether anything better than waiting could be done
+   */
+  constructor (clock: Clock, timeoutMs: number, parentSignal: AbortSignal, mayExpire: () => boolean = () => true) {
+    this.#clock = clock
+    this.#parentSignal = parentSignal
+    this.#mayExpire = mayExpire
+    this.#lastActivityMs = clock.nowMs()
+    if (parentSignal.aborted) this.#expire()
+    else parentSignal.addEventListener('abort', this.#expire, { once: true })
+    if (timeoutMs !== Number.POSITIVE_INFINITY) void this.#run(timeoutMs)
+  }
+
+  get signal (): AbortSignal {
+    return this.#expired.signal
+  }
+
+  reset (): void {
+    this.#lastActivityMs = this.#clock.nowMs()
+  }
+
+  /** Does something during which nothing can be heard, since nobody listens: silence counts from its end. */
+  async pauseDuring<T> (work: Promise<T>): Promise<T> {
+    this.#pauses++
+    try {
+      return await work
+    } finally {
+      this.#pauses--
+      this.reset()
+    }
+  }
+
+  /** Ends the watch. */
+  stop (): void {
+    this.#parentSignal.removeEventListener('abort', this.#expire)
+    this.#stopped.abort(STOPPED)
+  }
+
+  async #run (timeoutMs: number): Promise<void> {
+    for (let remainingMs = timeoutMs; remainingMs > 0; remainingMs = this.#remainingMs(timeoutMs)) {
+      await this.#clock.sleep(remainingMs, { signal: this.#stopped.signal })
+      // After a pause of this process, what came in time may still be waiting to be read.
+      await this.#clock.settle()
+      if (this.#stopped.signal.aborted) return
+    }
+    this.#expire()
+  }
+
+  #remainingMs (timeoutMs: number): number {
+    const remainingMs = this.#pauses > 0 ? timeoutMs : this.#lastActivityMs + timeoutMs - this.#clock.nowMs()
+    return remainingMs > 0 || this.#mayExpire() ? remainingMs : timeoutMs
+  }
+}
--- a/request/relay/src/passAnswer.ts
+++ b/request/relay/src/passAnswer.ts
@@ -17,7 +17,7 @@
   caller.begin(answer.status, answer.headers)
   times.status = answer.status
   for await (const bytes of answer.body) {
-    noteTime(times, run.elapsedMs)
+    recordPartTime(times, run.elapsedMs)
     times.parts++
     await caller.write(bytes)
   }
@@ -27,7 +27,7 @@
 }
 
 /** A part of the answer was passed on. */
-export function noteTime (times: AnswerTimes, nowMs: number): void {
+export function recordPartTime (times: AnswerTimes, nowMs: number): void {
   times.firstMs ??= nowMs
   if (times.lastMs !== undefined) {
     const pauseMs = nowMs - times.lastMs
--- a/request/relay/src/permittedPlacement.ts
+++ b/request/relay/src/permittedPlacement.ts
@@ -2,9 +2,9 @@
 import { isOwnPrefill, type PlacementPlan, type PlacementRefusal } from '@reelspan/core.messages'
 import { type Placement } from '@reelspan/scheduling.placer'
 import { type SendPermit } from '@reelspan/upstream.limits'
-import { takePermit } from './pickPermitted.js'
+import { acquirePermit } from './pickPermittedUpstream.js'
 import { type RelayContext } from './relayContext.js'
-import { SendWaits } from './sendWaits.js'
+import { BlockedUpstreams } from './blockedUpstreams.js'
 
 /** Permits for the engines of a placement: the same one where one engine does all. */
 export interface EnginePermits {
@@ -21,36 +21,36 @@
  * Takes a permit for each engine of a placement, before any of them works. Gives the placement
  * back and answers nothing when one has none, which is added to `waits`.
  */
-export async function takeEnginePermits (context: RelayContext, placement: Placement, waits: SendWaits): Promise<EnginePermits | undefined> {
+export async function acquireEnginePermits (context: RelayContext, placement: Placement, blocked: BlockedUpstreams): Promise<EnginePermits | undefined> {
   const engines = enginesOf(placement.plan)
-  const taken: SendPermit[] = []
+  const acquired: SendPermit[] = []
   try {
-    for (const engine of engines) taken.push(await takePermit(context, engine))
+    for (const engine of engines) acquired.push(await acquirePermit(context, engine))
   } catch (thrown) {
-    giveBack(placement, taken)
+    releaseAll(placement, acquired)
     throw thrown
   }
-  const missing = new SendWaits()
+  const refused = new BlockedUpstreams()
   engines.forEach((engine, i) => {
-    const { wait } = taken[i]
-    if (wait) [missing, waits].forEach((some) => some.add(engine, wait))
+    const { wait } = acquired[i]
+    if (wait) [refused, blocked].forEach((some) => some.add(engine, wait))
   })
-  if (missing.size === 0) return { prefill: taken[0], decode: taken[taken.length - 1] }
-  giveBack(placement, taken)
-  missing.log(context, {})
+  if (refused.size === 0) return { prefill: acquired[0], decode: acquired[acquired.length - 1] }
+  releaseAll(placement, acquired)
+  refused.log(context, {})
   return undefined
 }
 
 /**
  * Refuses a request that found no place.
  *
- * @param waits engines that were left out since they had no permit
+ * @param blocked engines that were left out since they had no permit
  */
-export function refuseUnplaced ({ opts }: RelayContext, model: string, { reason, retryAfterMs }: PlacementRefusal, waits: SendWaits): ReelspanError {
-  if (waits.size === 0) return new ReelspanError(ErrorCode.Overloaded, reason, { retryAfterMs })
-  const returnMs = Math.ceil(opts.returnTimes.bookAfter(model, waits.soonestMs))
-  const why = waits.areBackoffs ? 'asked this box to wait' : 'have got as many requests as they take for now'
-  return new ReelspanError(waits.errorCode, `${waits.describe()} ${why}; ${reason}`, { retryAfterMs: Math.max(retryAfterMs, returnMs) })
+export function noPlacementError ({ opts }: RelayContext, model: string, { reason, retryAfterMs }: PlacementRefusal, blocked: BlockedUpstreams): ReelspanError {
+  if (blocked.size === 0) return new ReelspanError(ErrorCode.Overloaded, reason, { retryAfterMs })
+  const retryMs = Math.ceil(opts.returnTimes.bookAfter(model, blocked.shortestWaitMs))
+  const why = blocked.allBackingOff ? 'asked this box to wait' : 'have got as many requests as they take for now'
+  return new ReelspanError(blocked.errorCode, `${blocked.describe()} ${why}; ${reason}`, { retryAfterMs: Math.max(retryAfterMs, retryMs) })
 }
 
 /** The engines that a plan makes work: one where it computes the prompt itself. */
@@ -58,7 +58,7 @@
   return isOwnPrefill(plan) ? [plan.decodeEngine] : [plan.prefillEngine, plan.decodeEngine]
 }
 
-function giveBack (placement: Placement, permits: readonly SendPermit[]): void {
+function releaseAll (placement: Placement, permits: readonly SendPermit[]): void {
   placement.release()
   permits.forEach((permit) => permit.release())
 }
--- a/request/relay/src/relay.ts
+++ b/request/relay/src/relay.ts
@@ -16,7 +16,7 @@
 import { type RelayContext } from './relayContext.js'
 import { relayedKind } from './relayedKind.js'
 import { type RelayOptions } from './relayOptions.js'
-import { RunTimes } from './runTimes.js'
+import { RunDurations } from './runDurations.js'
 import { ServiceRelay } from './serviceRelay.js'
 import { UpstreamPicker } from './upstreamPicker.js'
 
@@ -24,19 +24,19 @@
  * So long after its start a box keeps requests for its first configuration. It usually comes within some
  * 100 ms; when 58 boxes start while the platform is away it came 1.2 to 1.8 s after they took requests.
  */
-const START_PATIENCE_MS = 2500
+const STARTUP_CONFIG_TIMEOUT_MS = 2500
 /** Longer than a box was seen to take from its start to a configuration. */
 const NOT_READY_RETRY_AFTER_MS = 1000
 /** Another box can take the request at once. */
 const DRAINING_RETRY_AFTER_MS = 100
 /** Part of the retries that the system may make which is planned for; the rest covers boxes that know of fewer others. */
-const BURST_SHARE = 0.8
+const BUDGETED_BURST_SHARE = 0.8
 const FIRST_SERVER_ERROR = 500
 
 type Target = Pick<RouteTarget, 'model' | 'pool'>
 
 /** A request that was taken in, and where it goes. */
-interface TakenRequest extends Pick<RelayContext, 'run' | 'route' | 'request' | 'identity' | 'caller'> {
+interface AdmittedRequest extends Pick<RelayContext, 'run' | 'route' | 'request' | 'identity' | 'caller'> {
   admitted: Admitted
   target: Target
 }
@@ -50,13 +50,13 @@
   readonly #budgets = new Map<string, RetryBudget>()
   readonly #ended = new Notifier()
   readonly #running = new Map<string, RunContext>()
-  readonly #runTimes = new RunTimes()
+  readonly #runDurations = new RunDurations()
   #fleetRevision = 0
   #sequence = 0
-  #closed = false
+  #acceptingStopped = false
   readonly #startedAtMs: number
   /** When this box ends whatever runs, on its clock. */
-  #endsAtMs = Number.POSITIVE_INFINITY
+  #stopsAtMs = Number.POSITIVE_INFINITY
 
   constructor (opts: RelayOptions) {
     this.#opts = opts
@@ -78,12 +78,12 @@
 
   /** This box ends within that time: new requests are taken only if they can be expected to be over by then. */
   endWithin (durationMs: number): void {
-    this.#endsAtMs = this.#opts.clock.nowMs() + durationMs
+    this.#stopsAtMs = this.#opts.clock.nowMs() + durationMs
   }
 
   /** From now on new requests are refused unrun; those under way go on. */
   closeForNew (): void {
-    this.#closed = true
+    this.#acceptingStopped = true
   }
 
   /** Resolves once no request runs, or the signal is aborted. */
@@ -111,39 +111,39 @@
     if (this.#opts.configuration().revision === 0) await this.#waitForConfiguration(caller.signal, deadlineMs)
     const route = this.#opts.configuration().routeOfHost(request.host, pathOf(request.target))
     const identity = once(() => identityOfRelayed(request))
-    const run = this.#open(request, identity, Math.min(deadlineMs ?? Number.POSITIVE_INFINITY, route?.spec.deadlineMs ?? Number.POSITIVE_INFINITY), arrivedAtMs)
+    const run = this.#createRun(request, identity, Math.min(deadlineMs ?? Number.POSITIVE_INFINITY, route?.spec.deadlineMs ?? Number.POSITIVE_INFINITY), arrivedAtMs)
     const key = `${request.id}#${this.#sequence++}`
     const times: AnswerTimes = { longestPauseMs: 0, pausesMs: [], parts: 0 }
-    const leave = () => run.end(new ReelspanError(ErrorCode.Cancelled, 'the caller went away'))
+    const cancel = () => run.end(new ReelspanError(ErrorCode.Cancelled, 'the caller went away'))
     this.#running.set(key, run)
-    caller.signal.addEventListener('abort', leave, { once: true })
-    if (caller.signal.aborted) leave()
+    caller.signal.addEventListener('abort', cancel, { once: true })
+    if (caller.signal.aborted) cancel()
     this.#tasks.run(() => run.enforceDeadline())
     try {
       // A run that is ended is answered at once, even while its work still winds up.
-      await Promise.race([this.#carryOut(run, route, { request, identity }, caller, times), ended(run)])
+      await Promise.race([this.#execute(run, route, { request, identity }, caller, times), runEnded(run)])
     } catch (thrown) {
       run.end(toReelspanError(thrown))
     } finally {
       run.close()
-      caller.signal.removeEventListener('abort', leave)
+      caller.signal.removeEventListener('abort', cancel)
       this.#running.delete(key)
       this.#ended.notify()
-      this.#answer(run, route, request, caller, times)
+      this.#complete(run, route, request, caller, times)
     }
   }
 
   /** A box that has just started does not know yet where requests go, and soon does. */
   async #waitForConfiguration (callerSignal: AbortSignal, deadlineMs = Number.POSITIVE_INFINITY): Promise<void> {
     const { clock, configured } = this.#opts
-    const patienceMs = Math.min(this.#startedAtMs + START_PATIENCE_MS - clock.nowMs(), deadlineMs)
-    if (patienceMs <= 0) return
-    const over = new AbortController()
-    await raceTimeout(clock, configured(AbortSignal.any([callerSignal, this.#tasks.signal, over.signal])), patienceMs)
-    over.abort(STOPPED)
+    const timeoutMs = Math.min(this.#startedAtMs + STARTUP_CONFIG_TIMEOUT_MS - clock.nowMs(), deadlineMs)
+    if (timeoutMs <= 0) return
+    const waitEnded = new AbortController()
+    await raceTimeout(clock, configured(AbortSignal.any([callerSignal, this.#tasks.signal, waitEnded.signal])), timeoutMs)
+    waitEnded.abort(STOPPED)
   }
 
-  #open (request: RelayedRequest, identity: () => RequestIdentity, deadlineMs: number, arrivedAtMs: number): RunContext {
+  #createRun (request: RelayedRequest, identity: () => RequestIdentity, deadlineMs: number, arrivedAtMs: number): RunContext {
     const { clock } = this.#opts
     return new RunContext({
       clock,
@@ -152,31 +152,31 @@
       arrivedAtMs,
       requestId: request.id,
       // The attempt is bound to this process and to no other, whatever becomes of its membership.
-      holdsStanding: () => true,
-      isSure: () => true,
-      takeRetry: () => false,
+      isCurrentIncarnation: () => true,
+      isExclusive: () => true,
+      tryAcquireRetry: () => false,
       refusal: () => this.#opts.quarantine.refusalOf(identity),
     })
   }
 
-  async #carryOut (run: RunContext, route: Named<RouteSpec> | undefined, { request, identity }: Pick<RelayContext, 'request' | 'identity'>, caller: RelayCaller, times: AnswerTimes): Promise<void> {
+  async #execute (run: RunContext, route: Named<RouteSpec> | undefined, { request, identity }: Pick<RelayContext, 'request' | 'identity'>, caller: RelayCaller, times: AnswerTimes): Promise<void> {
     const opts = this.#opts
     if (opts.configuration().revision === 0) throw new ReelspanError(ErrorCode.NotReady, 'this box has no configuration yet', { retryAfterMs: NOT_READY_RETRY_AFTER_MS })
     if (!route) throw new ReelspanError(ErrorCode.NoRoute, `there is no route for ${request.host}${pathOf(request.target)}`)
-    if (this.#closed) throw new ReelspanError(ErrorCode.Draining, 'this box is about to stop', { retryAfterMs: DRAINING_RETRY_AFTER_MS })
-    this.#forgetUnlisted()
+    if (this.#acceptingStopped) throw new ReelspanError(ErrorCode.Draining, 'this box is about to stop', { retryAfterMs: DRAINING_RETRY_AFTER_MS })
+    this.#removeUnlisted()
     const { model, pool } = this.#pickTarget(route.spec)
     // Routes to one target differ in how long their requests last.
     const kind = `${route.name}|${model ?? pool as string}`
     // Before anything is waited for: a request that came before the stop counts as under way.
-    this.#checkHasTime(run, kind)
+    this.#checkFinishesBeforeStop(run, kind)
     const admitted = await this.#admit(request, route)
     try {
       run.throwIfEnded()
-      await this.#carryOutAt(this.#contextOf({ run, route, request, identity, caller, admitted, target: { model, pool } }), { model, pool }, times)
-      if (times.status !== undefined && times.status < FIRST_SERVER_ERROR) opts.quarantine.noteFinished(identity)
+      await this.#executeAt(this.#contextOf({ run, route, request, identity, caller, admitted, target: { model, pool } }), { model, pool }, times)
+      if (times.status !== undefined && times.status < FIRST_SERVER_ERROR) opts.quarantine.recordFinished(identity)
     } finally {
-      if (run.mayHaveRun) this.#runTimes.note(kind, run.elapsedMs)
+      if (run.mayHaveRun) this.#runDurations.record(kind, run.elapsedMs)
       else admitted.giveBack()
     }
   }
@@ -186,10 +186,10 @@
     return this.#opts.admission.admit({ id, open, keyDigest, sizeTokens })
   }
 
-  #contextOf ({ run, route, request, identity, caller, admitted: { account, urgency }, target }: TakenRequest): RelayContext {
+  #contextOf ({ run, route, request, identity, caller, admitted: { account, urgency }, target }: AdmittedRequest): RelayContext {
     const opts = this.#opts
-    const budget = this.#budget(target.model ?? target.pool as string)
-    budget.countRequest()
+    const budget = this.#budgetOf(target.model ?? target.pool as string)
+    budget.recordRequest()
     return {
       opts,
       run,
@@ -201,27 +201,27 @@
       budget,
       health: this.#health,
       picker: this.#picker,
-      decided: (event, fields) => opts.log.info(event, { request: request.id, route: route.name, account, ...fields }),
+      logDecision: (event, fields) => opts.log.info(event, { request: request.id, route: route.name, account, ...fields }),
     }
   }
 
-  async #carryOutAt (context: RelayContext, { model, pool }: Target, times: AnswerTimes): Promise<void> {
-    if (model === undefined) return new ServiceRelay(context, pool as string).carryOut(times)
+  async #executeAt (context: RelayContext, { model, pool }: Target, times: AnswerTimes): Promise<void> {
+    if (model === undefined) return new ServiceRelay(context, pool as string).execute(times)
     const { prompt } = context.request
     if (!prompt) throw new ReelspanError(ErrorCode.BadRequest, 'a request to a model declares the sizes of its prompt')
-    return new CompletionRelay(context, model, prompt).carryOut(times)
+    return new CompletionRelay(context, model, prompt).execute(times)
   }
 
   /** Throws when the request would probably still run when this box ends. */
-  #checkHasTime (run: RunContext, kind: string): void {
-    const leftMs = this.#endsAtMs - this.#opts.clock.nowMs()
-    const likelyMs = Math.min(run.leftMs, this.#runTimes.likelyLongestMs(kind) ?? run.leftMs)
-    if (likelyMs <= leftMs) return
-    throw new ReelspanError(ErrorCode.Draining, `this box stops within ${Math.round(leftMs)} ms, and the request may take ${Math.round(likelyMs)} ms`, { retryAfterMs: DRAINING_RETRY_AFTER_MS })
+  #checkFinishesBeforeStop (run: RunContext, kind: string): void {
+    const remainingMs = this.#stopsAtMs - this.#opts.clock.nowMs()
+    const expectedMs = Math.min(run.remainingMs, this.#runDurations.expectedMaxMs(kind) ?? run.remainingMs)
+    if (expectedMs <= remainingMs) return
+    throw new ReelspanError(ErrorCode.Draining, `this box stops within ${Math.round(remainingMs)} ms, and the request may take ${Math.round(expectedMs)} ms`, { retryAfterMs: DRAINING_RETRY_AFTER_MS })
   }
 
   /** What was seen of upstreams that are gone is of no use any more. */
-  #forgetUnlisted (): void {
+  #removeUnlisted (): void {
     const { fleet, fleetRevision } = this.#opts
     if (this.#fleetRevision === fleetRevision()) return
     this.#fleetRevision = fleetRevision()
@@ -238,16 +238,16 @@
     return targets.find((_, i) => drawn < sumUpTo(i)) ?? targets[0]
   }
 
-  #budget (pool: string): RetryBudget {
+  #budgetOf (pool: string): RetryBudget {
     const known = this.#budgets.get(pool)
     if (known) return known
     const { boxCount, retriesPerRequest, retryBurst } = this.#opts
-    const budget = new RetryBudget({ perRequest: retriesPerRequest, maxRetries: () => Math.max(1, retryBurst * BURST_SHARE / Math.max(1, boxCount())) })
+    const budget = new RetryBudget({ perRequest: retriesPerRequest, maxRetries: () => Math.max(1, retryBurst * BUDGETED_BURST_SHARE / Math.max(1, boxCount())) })
     this.#budgets.set(pool, budget)
     return budget
   }
 
-  #answer (run: RunContext, route: Named<RouteSpec> | undefined, request: RelayedRequest, caller: RelayCaller, times: AnswerTimes): void {
+  #complete (run: RunContext, route: Named<RouteSpec> | undefined, request: RelayedRequest, caller: RelayCaller, times: AnswerTimes): void {
     const { final } = run.record
     const { log, metrics, configuration, fleetRevision } = this.#opts
     if (final && final.verdict !== Verdict.Finished) {
@@ -293,7 +293,7 @@
   return at < 0 ? target : target.slice(0, at)
 }
 
-function ended ({ signal }: RunContext): Promise<void> {
+function runEnded ({ signal }: RunContext): Promise<void> {
   if (signal.aborted) return Promise.resolve()
   return new Promise((resolve) => signal.addEventListener('abort', () => resolve(), { once: true }))
 }
--- a/request/relay/src/relayContext.ts
+++ b/request/relay/src/relayContext.ts
@@ -23,5 +23,5 @@
   health: UpstreamHealth
   picker: UpstreamPicker
   /** Writes a decision about this request to the log. */
-  decided: (event: LogEvent, fields: LogFields) => void
+  logDecision: (event: LogEvent, fields: LogFields) => void
 }
--- a/request/relay/src/sendToUpstream.ts
+++ b/request/relay/src/sendToUpstream.ts
@@ -1,6 +1,6 @@
 import { type PrefilledPrompt, type RelayAnswer, type RelayCallOptions, type RelayRunOptions, type RelayTarget, UpstreamError } from '@reelspan/upstream.client'
 import { type SendPermit } from '@reelspan/upstream.limits'
-import { dropAnswer } from './dropAnswer.js'
+import { drainAnswer } from './drainAnswer.js'
 import { type RelayContext } from './relayContext.js'
 
 /**
@@ -19,14 +19,14 @@
 export function sendToUpstream (context: RelayContext, to: PermittedTarget, runOptions: RelayRunOptions): Promise<RelayAnswer> {
   const { opts, run, request } = context
   const { target } = to
-  return run.dispatchWhenSent(async (sent) => {
+  return run.dispatchOnSend(async (sent) => {
     const onSend = () => {
       sent()
       runOptions.onSend?.()
     }
-    const answer = await opts.upstreams.run(target, request, accountedFor(context, to, { ...runOptions, onSend }))
+    const answer = await opts.upstreams.run(target, request, withAccounting(context, to, { ...runOptions, onSend }))
     if (!answer.notRun) return answer
-    void dropAnswer(answer)
+    void drainAnswer(answer)
     throw new UpstreamError(`${target.instance} answered ${answer.status} and did not run the request`, { mayHaveRun: false, refused: true })
   })
 }
@@ -34,11 +34,11 @@
 /** Has an engine compute the KV cache of a request's prompt. Throws `UpstreamError`. */
 export function prefillAtUpstream (context: RelayContext, to: PermittedTarget, callOptions: RelayCallOptions): Promise<PrefilledPrompt> {
   const { opts, request } = context
-  return opts.upstreams.prefill(to.target, request, accountedFor(context, to, callOptions))
+  return opts.upstreams.prefill(to.target, request, withAccounting(context, to, callOptions))
 }
 
 /** Uses the permit when the request is sent, and observes what the response advertises. */
-function accountedFor<T extends RelayCallOptions> ({ opts: { clock, signals } }: RelayContext, { target, permit }: PermittedTarget, callOptions: T): T {
+function withAccounting<T extends RelayCallOptions> ({ opts: { clock, signals } }: RelayContext, { target, permit }: PermittedTarget, callOptions: T): T {
   let sentAtMs = clock.nowMs()
   return {
     ...callOptions,
--- a/request/relay/test/__utils__/createRelay.ts
+++ b/request/relay/test/__utils__/createRelay.ts
@@ -2,7 +2,7 @@
 import { checkResources, Configuration, ResourceKind } from '@reelspan/config.resources'
 import { type EngineOutcome, PlacementOutcome, type PlacementRefusal } from '@reelspan/core.messages'
 import { EvenShareLimiter } from '@reelspan/membership.limits'
-import { BrokenRuns, type BrokenRunsOptions, Quarantine, RunHistory } from '@reelspan/request.quarantine'
+import { BrokenRuns, type InterruptedRunsOptions, Quarantine, RunHistory } from '@reelspan/request.quarantine'
 import { Relay, type RelayOptions } from '@reelspan/request.relay'
 import { type Placement, Placer, type PlaceRequest } from '@reelspan/scheduling.placer'
 import { Log, type LogEvent, type LogFields } from '@reelspan/telemetry.log'
@@ -24,9 +24,9 @@
   readonly freed: PrefillSource[] = []
   readonly #clock: VirtualClock
   readonly #scripts: Script[]
-  readonly #working: AbortSignal[] = []
+  readonly #inProgress: AbortSignal[] = []
   prefillFailure?: UpstreamError
-  prefillIsSilent = false
+  prefillHangs = false
   /** The prefill ends when this resolves, whatever becomes of its caller. */
   prefillEnds?: Promise<void>
   onPrefill?: () => void
@@ -42,26 +42,26 @@
   }
 
   /** What goes on at upstreams and was not given up. */
-  get working (): number {
-    return this.#working.filter(({ aborted }) => !aborted).length
+  get inProgress (): number {
+    return this.#inProgress.filter(({ aborted }) => !aborted).length
   }
 
   async run (target: RelayTarget, request: RelayedRequest, opts: RelayRunOptions): Promise<RelayAnswer> {
-    if (this.connects) await Promise.race([this.connects, givenUp(opts.signal, { mayHaveRun: false })])
+    if (this.connects) await Promise.race([this.connects, rejectOnAbort(opts.signal, { mayHaveRun: false })])
     if (this.unreachable.has(target.instance)) throw new UpstreamError(`${target.instance} cannot be reached`, { mayHaveRun: false, unreachable: true })
     const script = this.#scripts[this.runs.length]
     this.runs.push({ instance: target.instance, request, opts })
     opts.onSend?.()
-    const answer = await this.#atWork(opts.signal, script({ ...opts, clock: this.#clock }))
-    return { ...answer, body: this.#bodyAtWork(opts.signal, answer.body) }
+    const answer = await this.#trackWork(opts.signal, script({ ...opts, clock: this.#clock }))
+    return { ...answer, body: this.#trackBody(opts.signal, answer.body) }
   }
 
   async prefill (target: RelayTarget, _request: RelayedRequest, { signal, onSend }: RelayCallOptions): Promise<PrefilledPrompt> {
     this.prefills.push(target.instance)
     onSend?.()
     this.onPrefill?.()
-    if (this.prefillEnds) await this.#atWork(signal, this.prefillEnds)
-    if (this.prefillIsSilent) await this.#atWork(signal, givenUp(signal))
+    if (this.prefillEnds) await this.#trackWork(signal, this.prefillEnds)
+    if (this.prefillHangs) await this.#trackWork(signal, rejectOnAbort(signal))
     if (this.prefillFailure) throw this.prefillFailure
     return { handle: `handle-${this.prefills.length}`, promptTokens: 1000 }
   }
@@ -70,21 +70,21 @@
     this.freed.push(source)
   }
 
-  async #atWork<T> (signal: AbortSignal, work: Promise<T>): Promise<T> {
-    this.#working.push(signal)
+  async #trackWork<T> (signal: AbortSignal, work: Promise<T>): Promise<T> {
+    this.#inProgress.push(signal)
     try {
       return await work
     } finally {
-      this.#working.splice(this.#working.indexOf(signal), 1)
+      this.#inProgress.splice(this.#inProgress.indexOf(signal), 1)
     }
   }
 
-  async * #bodyAtWork (signal: AbortSignal, body: AsyncIterable<Uint8Array>): AsyncGenerator<Uint8Array> {
-    this.#working.push(signal)
+  async * #trackBody (signal: AbortSignal, body: AsyncIterable<Uint8Array>): AsyncGenerator<Uint8Array> {
+    this.#inProgress.push(signal)
     try {
       yield * body
     } finally {
-      this.#working.splice(this.#working.indexOf(signal), 1)
+      this.#inProgress.splice(this.#inProgress.indexOf(signal), 1)
     }
   }
 }
@@ -92,27 +92,27 @@
 /** A caller that keeps what it gets, and may stop taking it in. */
 export class RecordingCaller extends KeepingCaller {
   /** Takes in nothing more until it leaves or reads again. */
-  readsNothing = false
-  #readsAgain = () => {}
+  stopsReading = false
+  #onReadingResumed = () => {}
 
   override async write (bytes: Uint8Array): Promise<void> {
     await super.write(bytes)
-    if (!this.readsNothing || this.left.signal.aborted) return
+    if (!this.stopsReading || this.left.signal.aborted) return
     await new Promise<void>((resolve) => {
-      this.#readsAgain = resolve
+      this.#onReadingResumed = resolve
       this.left.signal.addEventListener('abort', () => resolve(), { once: true })
     })
   }
 
-  readAgain (): void {
-    this.readsNothing = false
-    this.#readsAgain()
+  resumeReading (): void {
+    this.stopsReading = false
+    this.#onReadingResumed()
   }
 }
 
 /** Places everything on the same two engines, or refuses. */
 class FixedPlacer extends Placer {
-  readonly asked: PlaceRequest[] = []
+  readonly requests: PlaceRequest[] = []
   placed = 0
   released = 0
   readonly outcomes: EngineOutcome[] = []
@@ -125,10 +125,10 @@
   answers?: Promise<void>
 
   async place (request: PlaceRequest): Promise<Placement | PlacementRefusal> {
-    this.asked.push(request)
+    this.requests.push(request)
     await this.answers
     if (this.refusal) return this.refusal
-    const nth = this.asked.length
+    const nth = this.requests.length
     this.placed++
     const decode = { decodeEngine: `d${nth}`, decodeAddress: `10.0.1.${nth}:1` }
     const prefill = this.ownPrefill ? { prefillEngine: decode.decodeEngine, prefillAddress: decode.decodeAddress } : { prefillEngine: 'p1', prefillAddress: '10.0.0.1:1' }
@@ -155,7 +155,7 @@
   }
 }
 
-class KeptLog extends Log {
+class RecordingLog extends Log {
   readonly entries: { event: LogEvent, fields?: LogFields }[] = []
 
   info (event: LogEvent, fields?: LogFields): void {
@@ -199,14 +199,14 @@
   const startedAtMs = clock.nowMs()
   const upstreams = new ScriptedUpstreams(clock, scripts)
   const placer = new FixedPlacer()
-  const log = new KeptLog()
+  const log = new RecordingLog()
   const probe = new ScriptedProbe()
   const metrics = new Metrics()
   const reports = new UpstreamReports({ clock })
   const closedUnanswered: string[] = []
   const history = new RunHistory({ clock })
   const quarantine = new Quarantine({ clock, log, history, incarnation: () => 'a'.repeat(16), onEvent: () => {} })
-  const onUpstreamEnded: BrokenRunsOptions['onUpstreamEnded'] = ({ identity, upstream, sentAtMs, brokeAtMs }) =>
+  const onUpstreamExited: InterruptedRunsOptions['onUpstreamEnded'] = ({ identity, upstream, sentAtMs, brokeAtMs }) =>
     quarantine.noteUpstreamEnded(identity, upstream, { ranMs: brokeAtMs - sentAtMs, ageMs: 0 })
   const { configuration, problems } = checkResources(declared(computesPrompts).map((one) => ({ ...one, revision: 1 })), 1)
   if (problems.length > 0) throw new Error(JSON.stringify(problems))
@@ -243,7 +243,7 @@
     standing: () => ({ peerAddress: '10.0.0.9:1', incarnation: 'a'.repeat(16), availabilityZone: 'a' }),
     boxCount: () => 1,
     onTaskError,
-    brokenRuns: new BrokenRuns({ clock, probe, log, metrics, fleet, onUpstreamEnded }),
+    brokenRuns: new BrokenRuns({ clock, probe, log, metrics, fleet, onUpstreamEnded: onUpstreamExited }),
     quarantine,
     retriesPerRequest: 0,
     retryBurst,
@@ -281,7 +281,7 @@
 }
 
 /** Begins an answer and breaks off behind the given parts. */
-export function breaksOff (status: number, parts: string[]): Script {
+export function aborts (status: number, parts: string[]): Script {
   return async () => ({ status, notRun: false, headers: [], body: bodyOf(parts, new UpstreamError('broke off', { mayHaveRun: true })) })
 }
 
@@ -294,31 +294,31 @@
 }
 
 /** Says nothing until it is given up. */
-export function silent (): Script {
-  return ({ signal }) => givenUp(signal)
+export function hangs (): Script {
+  return ({ signal }) => rejectOnAbort(signal)
 }
 
 /** Begins an answer and says no more until it is given up. */
-export function fallsSilent (status: number, part: string): Script {
-  return async ({ signal }) => ({ status, notRun: false, headers: [], body: silentBody(part, signal) })
+export function stalls (status: number, part: string): Script {
+  return async ({ signal }) => ({ status, notRun: false, headers: [], body: stallingBody(part, signal) })
 }
 
-async function * silentBody (part: string, signal: AbortSignal): AsyncGenerator<Uint8Array> {
+async function * stallingBody (part: string, signal: AbortSignal): AsyncGenerator<Uint8Array> {
   yield Buffer.from(part)
-  await givenUp(signal)
+  await rejectOnAbort(signal)
 }
 
-function givenUp (signal: AbortSignal, { mayHaveRun } = { mayHaveRun: true }): Promise<never> {
+function rejectOnAbort (signal: AbortSignal, { mayHaveRun } = { mayHaveRun: true }): Promise<never> {
   return new Promise((_resolve, reject) => {
-    const giveUp = () => reject(new UpstreamError('given up', { mayHaveRun, unreachable: true }))
-    if (signal.aborted) giveUp()
-    else signal.addEventListener('abort', giveUp)
+    const abort = () => reject(new UpstreamError('given up', { mayHaveRun, unreachable: true }))
+    if (signal.aborted) abort()
+    else signal.addEventListener('abort', abort)
   })
 }
 
 /** Gives its parts at once; breaks off if it is given up before they are taken. */
-export function endsUnlessGivenUp (status: number, parts: string[]): Script {
-  return async ({ signal }) => ({ status, notRun: false, headers: [], body: bodyUnlessGivenUp(parts, signal) })
+export function endsUnlessAborted (status: number, parts: string[]): Script {
+  return async ({ signal }) => ({ status, notRun: false, headers: [], body: bodyUnlessAborted(parts, signal) })
 }
 
 /** Gives a part, pauses before each further one, and breaks off if it is given up. */
@@ -334,7 +334,7 @@
   }
 }
 
-async function * bodyUnlessGivenUp (parts: string[], signal: AbortSignal): AsyncGenerator<Uint8Array> {
+async function * bodyUnlessAborted (parts: string[], signal: AbortSignal): AsyncGenerator<Uint8Array> {
   for (const part of parts) {
     if (signal.aborted) throw new UpstreamError('given up', { mayHaveRun: true, unreachable: true })
     yield Buffer.from(part)
--- a/request/relay/test/accounts.ts
+++ b/request/relay/test/accounts.ts
@@ -2,54 +2,54 @@
 import { ErrorCode, ReelspanError, Verdict } from '@reelspan/core.error'
 import { PlacementOutcome } from '@reelspan/core.messages'
 import test from 'ava'
-import { answers, breaksOff, createRelay, RecordingCaller, refuses, requestTo } from './__utils__/createRelay.js'
+import { answers, aborts, createRelay, RecordingCaller, refuses, requestTo } from './__utils__/createRelay.js'
 
 /** Takes everything in for one account, or refuses it. */
-class BankAdmission implements BoxAdmission {
+class RecordingAdmission implements BoxAdmission {
   readonly usesAccounts = true
   readonly isProved = true
-  readonly asked: AdmissionRequest[] = []
-  givenBack = 0
+  readonly requests: AdmissionRequest[] = []
+  refundCount = 0
   refusal?: ReelspanError
 
   async admit (request: AdmissionRequest): Promise<Admitted> {
-    this.asked.push(request)
+    this.requests.push(request)
     if (this.refusal) throw this.refusal
-    return { account: 'bank', urgency: 0, giveBack: () => { this.givenBack++ } }
+    return { account: 'bank', urgency: 0, giveBack: () => { this.refundCount++ } }
   }
 }
 
 test('upstreams are told the account on each try', async (t) => {
-  const admission = new BankAdmission()
+  const admission = new RecordingAdmission()
   const { clock, relay, upstreams } = createRelay([refuses(), answers(200, 'script')], { admission })
   await clock.run(relay.relay(requestTo('/fetch/1'), new RecordingCaller()))
   t.deepEqual(upstreams.runs.map(({ request }) => request.account), ['bank', 'bank'])
-  t.is(admission.givenBack, 0)
+  t.is(admission.refundCount, 0)
 })
 
 test('a stream that goes on elsewhere goes on for its account, with its urgency', async (t) => {
-  const admission = new BankAdmission()
-  const { clock, relay, upstreams, placer } = createRelay([breaksOff(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { admission })
+  const admission = new RecordingAdmission()
+  const { clock, relay, upstreams, placer } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { admission })
   await clock.run(relay.relay(requestTo('/reply/1'), new RecordingCaller()))
   t.deepEqual(upstreams.runs.map(({ request, opts }) => [request.account, opts.urgency]), [['bank', 0], ['bank', 0]])
-  t.true(placer.asked.every(({ priority }) => priority === 0))
+  t.true(placer.requests.every(({ priority }) => priority === 0))
 })
 
 test('a request is decided on before anything else is spent on it', async (t) => {
-  const admission = new BankAdmission()
+  const admission = new RecordingAdmission()
   admission.refusal = new ReelspanError(ErrorCode.AccountKey, 'no client account has this key')
   const { clock, relay, upstreams, placer } = createRelay([], { admission })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1', { keyDigest: 'd' }), caller))
   t.like(caller.refused, { code: ErrorCode.AccountKey, verdict: Verdict.NotRun })
-  t.deepEqual([upstreams.runs.length, upstreams.prefills.length, placer.asked.length], [0, 0, 0])
-  t.like(admission.asked[0], { keyDigest: 'd', sizeTokens: 1100, open: false })
+  t.deepEqual([upstreams.runs.length, upstreams.prefills.length, placer.requests.length], [0, 0, 0])
+  t.like(admission.requests[0], { keyDigest: 'd', sizeTokens: 1100, open: false })
 })
 
 test('what has not run is given back to its account', async (t) => {
-  const admission = new BankAdmission()
+  const admission = new RecordingAdmission()
   const { clock, relay, placer } = createRelay([], { admission })
   placer.refusal = { outcome: PlacementOutcome.Refused, reason: 'full', retryAfterMs: 100 }
   await clock.run(relay.relay(requestTo('/draft/1'), new RecordingCaller()))
-  t.is(admission.givenBack, 1)
+  t.is(admission.refundCount, 1)
 })
--- a/request/relay/test/eventProgress.ts
+++ b/request/relay/test/eventProgress.ts
@@ -8,7 +8,7 @@
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: STREAM.length - 1 }), { maxLength: 8 }), (cuts) => {
     const progress = new EventProgress()
     const places = [0, ...[...new Set(cuts)].sort((a, b) => a - b), STREAM.length]
-    const parts = places.slice(1).map((end, i) => progress.take(Buffer.from(STREAM.slice(places[i], end))))
+    const parts = places.slice(1).map((end, i) => progress.push(Buffer.from(STREAM.slice(places[i], end))))
     t.is(Buffer.concat(parts).toString(), STREAM)
     t.is(progress.events, 3)
     t.is(progress.lastId, '2')
@@ -17,8 +17,8 @@
 
 test('a part of an event is kept back until it is whole or given up', (t) => {
   const progress = new EventProgress()
-  t.is(Buffer.from(progress.take(Buffer.from('id: 0\ndata: a\n\nid: 1\nda'))).toString(), 'id: 0\ndata: a\n\n')
+  t.is(Buffer.from(progress.push(Buffer.from('id: 0\ndata: a\n\nid: 1\nda'))).toString(), 'id: 0\ndata: a\n\n')
   t.is(progress.lastId, '0')
-  t.is(Buffer.from(progress.takeRest()).toString(), 'id: 1\nda')
-  t.is(progress.takeRest().byteLength, 0)
+  t.is(Buffer.from(progress.flush()).toString(), 'id: 1\nda')
+  t.is(progress.flush().byteLength, 0)
 })
--- a/request/relay/test/quarantine.ts
+++ b/request/relay/test/quarantine.ts
@@ -2,23 +2,23 @@
 import { identityOfRelayed } from '@reelspan/request.identity'
 import { UpstreamError } from '@reelspan/upstream.client'
 import test from 'ava'
-import { answers, breaksOff, createRelay, RecordingCaller, requestTo } from './__utils__/createRelay.js'
+import { answers, aborts, createRelay, RecordingCaller, requestTo } from './__utils__/createRelay.js'
 
 type TestRelay = ReturnType<typeof createRelay>
 
 /** Upstreams have ended under a request, one after the other, as other boxes tell. */
-function endUpstreams ({ quarantine }: TestRelay, path: string, times = 3): void {
+function recordUpstreamExits ({ quarantine }: TestRelay, path: string, times = 3): void {
   Array.from({ length: times }, (_, i) => quarantine.noteUpstreamEnded(identityOfRelayed(requestTo(path)), `e${i}`, { ageMs: 100 * (times - i), ranMs: 50 }))
 }
 
 test('a request that ended three upstreams is refused at once and sent nowhere, others are served', async (t) => {
   for (const path of ['/draft/1', '/reply/1', '/fetch/1', '/status/1']) {
     const relay = createRelay([answers(200, 'id: 0\ndata: a\n\n')])
-    endUpstreams(relay, path)
+    recordUpstreamExits(relay, path)
     const [refused, served] = [new RecordingCaller(), new RecordingCaller()]
     await relay.clock.run(relay.relay.relay(requestTo(path), refused))
     t.like(refused.refused, { verdict: Verdict.NotRun, code: ErrorCode.RequestQuarantined })
-    t.is(relay.upstreams.prefills.length + relay.upstreams.runs.length + relay.placer.asked.length, 0)
+    t.is(relay.upstreams.prefills.length + relay.upstreams.runs.length + relay.placer.requests.length, 0)
     await relay.clock.run(relay.relay.relay(requestTo(path.replace('1', '2')), served))
     t.true(served.whole)
   }
@@ -30,7 +30,7 @@
   const caller = new RecordingCaller()
   const ended = relay.relay.relay(requestTo('/draft/1'), caller)
   await relay.clock.advance(100)
-  endUpstreams(relay, '/draft/1')
+  recordUpstreamExits(relay, '/draft/1')
   await relay.clock.run(ended, 10)
   t.like(caller.refused, { verdict: Verdict.NotRun, code: ErrorCode.RequestQuarantined })
   await relay.clock.advance(5000)
@@ -39,7 +39,7 @@
 
 test('a request that becomes known to end upstreams while its prompt is read is not decoded, and its handle is freed', async (t) => {
   const relay = createRelay([answers(200, 'id: 0\ndata: a\n\n')])
-  relay.upstreams.onPrefill = () => endUpstreams(relay, '/draft/1')
+  relay.upstreams.onPrefill = () => recordUpstreamExits(relay, '/draft/1')
   const caller = new RecordingCaller()
   await relay.clock.run(relay.relay.relay(requestTo('/draft/1'), caller))
   t.is(caller.refused?.code, ErrorCode.RequestQuarantined)
@@ -49,8 +49,8 @@
 })
 
 test('a stream that breaks off is not taken up elsewhere once it is known to end upstreams', async (t) => {
-  const relay = createRelay([breaksOff(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
-  relay.upstreams.onPrefill = () => endUpstreams(relay, '/reply/1', 2)
+  const relay = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
+  relay.upstreams.onPrefill = () => recordUpstreamExits(relay, '/reply/1', 2)
   relay.probe.ended.add('10.0.1.1:1')
   const caller = new RecordingCaller()
   await relay.clock.run(relay.relay.relay(requestTo('/reply/1'), caller))
@@ -60,7 +60,7 @@
 
 test('an engine that ends while it reads a prompt counts as one that ended under the request', async (t) => {
   const relay = createRelay([answers(200, 'id: 0\ndata: a\n\n')])
-  endUpstreams(relay, '/draft/1', 2)
+  recordUpstreamExits(relay, '/draft/1', 2)
   relay.upstreams.prefillFailure = new UpstreamError('closed the connection', { mayHaveRun: true, unreachable: true })
   relay.probe.ended.add('10.0.0.1:1')
   await relay.clock.run(relay.relay.relay(requestTo('/draft/1'), new RecordingCaller()))
@@ -69,9 +69,9 @@
 
 test('a request that ran to its end is not held for what its upstreams ended for before', async (t) => {
   const relay = createRelay([answers(200, 'status'), answers(200, 'status')])
-  endUpstreams(relay, '/status/1', 2)
+  recordUpstreamExits(relay, '/status/1', 2)
   await relay.clock.run(relay.relay.relay(requestTo('/status/1'), new RecordingCaller()))
-  endUpstreams(relay, '/status/1', 2)
+  recordUpstreamExits(relay, '/status/1', 2)
   const caller = new RecordingCaller()
   await relay.clock.run(relay.relay.relay(requestTo('/status/1'), caller))
   t.true(caller.whole)
--- a/request/relay/test/relay.ts
+++ b/request/relay/test/relay.ts
@@ -3,9 +3,9 @@
 import { UpstreamError } from '@reelspan/upstream.client'
 import test from 'ava'
 import { type ListedUpstream } from '@reelspan/config.fleet'
-import { answers, answersAfter, breaksOff, createRelay, endsUnlessGivenUp, fails, fallsSilent, pauses, RecordingCaller, refuses, requestTo, silent } from './__utils__/createRelay.js'
+import { answers, answersAfter, aborts, createRelay, endsUnlessAborted, fails, stalls, pauses, RecordingCaller, refuses, requestTo, hangs } from './__utils__/createRelay.js'
 
-function leave (engines: readonly ListedUpstream[], name: string): void {
+function startDraining (engines: readonly ListedUpstream[], name: string): void {
   engines.filter((engine) => engine.name === name).forEach((engine) => { engine.leaving = true })
 }
 
@@ -80,7 +80,7 @@
 })
 
 test('a repeatable request leaves an upstream that is silent for another one', async (t) => {
-  const { clock, relay, upstreams } = createRelay([silent(), answers(200, 'status')])
+  const { clock, relay, upstreams } = createRelay([hangs(), answers(200, 'status')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/status/1'), caller))
   t.is(upstreams.runs.length, 2)
@@ -106,7 +106,7 @@
 })
 
 test('a late answer of the last upstream that may be asked is passed on while its caller waits', async (t) => {
-  const { clock, relay, upstreams } = createRelay([silent(), answersAfter(1000, 200, 'late status')])
+  const { clock, relay, upstreams } = createRelay([hangs(), answersAfter(1000, 200, 'late status')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/status/1'), caller))
   t.is(upstreams.runs.length, 2)
@@ -144,7 +144,7 @@
 })
 
 test('a request that may not be repeated waits for a silent upstream until its time is over, and is answered then', async (t) => {
-  const { clock, relay, upstreams } = createRelay([silent()])
+  const { clock, relay, upstreams } = createRelay([hangs()])
   const caller = new RecordingCaller()
   const startedAtMs = clock.nowMs()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
@@ -155,7 +155,7 @@
 })
 
 test('a caller\'s own deadline counts when it is the sooner one', async (t) => {
-  const { clock, relay, upstreams } = createRelay([silent()])
+  const { clock, relay, upstreams } = createRelay([hangs()])
   const caller = new RecordingCaller()
   const startedAtMs = clock.nowMs()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller, 700))
@@ -216,7 +216,7 @@
 })
 
 test('an upstream stops working for a caller that has left', async (t) => {
-  const { clock, relay, upstreams } = createRelay([silent()])
+  const { clock, relay, upstreams } = createRelay([hangs()])
   const caller = new RecordingCaller()
   const work = relay.relay(requestTo('/fetch/1'), caller)
   await clock.advance(50)
@@ -227,7 +227,7 @@
 })
 
 test('an answer that breaks off is cut for the caller too', async (t) => {
-  const { clock, relay } = createRelay([breaksOff(200, ['half'])])
+  const { clock, relay } = createRelay([aborts(200, ['half'])])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
   t.is(caller.body, 'half')
@@ -274,7 +274,7 @@
   t.deepEqual(upstreams.prefills, [])
   t.deepEqual(upstreams.runs.map(({ instance, opts }) => [instance, opts.source]), [['d1', undefined]])
   t.true(caller.whole)
-  t.true(placer.asked[0].allowsOwnPrefill)
+  t.true(placer.requests[0].allowsOwnPrefill)
   t.is(placer.prefilled, 1, 'the scheduler is told that the prompt is computed')
 })
 
@@ -314,7 +314,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.true(upstreams.prefills.length > 1)
-  t.true(placer.asked.at(-1)?.avoid.includes('p1'))
+  t.true(placer.requests.at(-1)?.avoid.includes('p1'))
   t.is(caller.refused?.verdict, Verdict.NotRun)
 })
 
@@ -322,8 +322,8 @@
   const { clock, relay, placer } = createRelay([answers(200, 'a'), answers(200, 'b')])
   await clock.run(relay.relay(requestTo('/draft/1', { id: 'first' }), new RecordingCaller()))
   await clock.run(relay.relay(requestTo('/draft/1', { id: 'second' }), new RecordingCaller()))
-  t.is(placer.asked[0].returnId, placer.asked[1].returnId)
-  t.not(placer.asked[0].label.requestId, placer.asked[1].label.requestId)
+  t.is(placer.requests[0].returnId, placer.requests[1].returnId)
+  t.not(placer.requests[0].label.requestId, placer.requests[1].label.requestId)
 })
 
 test('a box that is about to stop refuses new requests unrun', async (t) => {
@@ -338,7 +338,7 @@
 
 test('a resumable answer that breaks off goes on at another engine behind the last whole event', async (t) => {
   const { clock, relay, upstreams } = createRelay([
-    breaksOff(200, ['id: 0\ndata: a\n\nid: 1\nda', 'ta: b\n\nid: 2\ndat']),
+    aborts(200, ['id: 0\ndata: a\n\nid: 1\nda', 'ta: b\n\nid: 2\ndat']),
     answers(200, 'id: 2\ndata: c\n\n'),
   ])
   const caller = new RecordingCaller()
@@ -350,7 +350,7 @@
 })
 
 test('a resumable answer that breaks off goes on at its engine, which has kept the prompt', async (t) => {
-  const { clock, relay, upstreams, placer } = createRelay([breaksOff(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
+  const { clock, relay, upstreams, placer } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance, opts }) => [instance, opts.source?.handle, opts.resumeAfter]), [['d1', 'handle-1', undefined], ['d1', undefined, '0']])
@@ -361,7 +361,7 @@
 })
 
 test('an engine that breaks off twice is left for another one', async (t) => {
-  const { clock, relay, upstreams } = createRelay([breaksOff(200, ['id: 0\ndata: a\n\n']), breaksOff(200, []), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
+  const { clock, relay, upstreams } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), aborts(200, []), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d1', 'd1', 'd2'])
@@ -377,7 +377,7 @@
 })
 
 test('an answer that may not be resumed is not asked for again where it broke off', async (t) => {
-  const { clock, relay, upstreams } = createRelay([breaksOff(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
+  const { clock, relay, upstreams } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.is(upstreams.runs.length, 1)
@@ -393,7 +393,7 @@
 })
 
 test('without budget an engine whose answer broke off is not asked again', async (t) => {
-  const cut = breaksOff(200, ['id: 0\ndata: a\n\n'])
+  const cut = aborts(200, ['id: 0\ndata: a\n\n'])
   const { clock, relay, upstreams } = createRelay([cut, answers(200, 'id: 1\ndata: b\n\n'), cut], { computesPrompts: true, retryBurst: 1 })
   const callers = [new RecordingCaller(), new RecordingCaller()]
   await clock.run(relay.relay(requestTo('/reply/1'), callers[0]))
@@ -404,19 +404,19 @@
 })
 
 test('a prompt is read again only for an answer that can still be whole in time', async (t) => {
-  const { clock, relay, placer } = createRelay([breaksOff(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')])
+  const { clock, relay, placer } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')])
   const request = requestTo('/reply/1')
   // The model takes at least 4 ms a token, and the route's time is 10,000 ms.
   const prompt = { ...request.prompt, model: 'm', promptTokens: 1000, maxTokens: 4000, prefixes: [], expectedTokens: 2400 }
   await clock.run(relay.relay({ ...request, prompt }, new RecordingCaller()))
-  const [first, again] = placer.asked
+  const [first, again] = placer.requests
   t.is(first.patienceMs, 2700)
   t.true(again.ttftLeftMs <= 400 + 4, `${again.ttftLeftMs} ms`)
   t.true(again.patienceMs !== undefined && again.patienceMs <= 400 + 4, `${again.patienceMs} ms`)
 })
 
 test('an answer that may not be resumed is cut where it broke off', async (t) => {
-  const { clock, relay, upstreams } = createRelay([breaksOff(200, ['id: 0\ndata: a\n\nid: 1\nda'])])
+  const { clock, relay, upstreams } = createRelay([aborts(200, ['id: 0\ndata: a\n\nid: 1\nda'])])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\nda')
@@ -425,7 +425,7 @@
 })
 
 test('an answer that has begun is not mixed with another engine\'s failure', async (t) => {
-  const { clock, relay } = createRelay([breaksOff(200, ['id: 0\ndata: a\n\n']), answers(500, 'oops')])
+  const { clock, relay } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(500, 'oops')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.is(caller.body, 'id: 0\ndata: a\n\n')
@@ -434,20 +434,20 @@
 
 test('a prefill whose answer does not come is given up, and another engine reads the prompt', async (t) => {
   const { clock, relay, upstreams, placer } = createRelay([answers(200, 'data: line\n\n')])
-  upstreams.prefillIsSilent = true
+  upstreams.prefillHangs = true
   const caller = new RecordingCaller()
   const startedAtMs = clock.nowMs()
   const work = relay.relay(requestTo('/draft/1'), caller)
   await clock.advance(400)
-  upstreams.prefillIsSilent = false
+  upstreams.prefillHangs = false
   await clock.run(work)
   t.true(caller.whole)
   t.true(clock.nowMs() - startedAtMs < 900)
-  t.true(placer.asked[1].avoid.includes('p1'))
+  t.true(placer.requests[1].avoid.includes('p1'))
 })
 
 test('a resumable stream that falls silent goes on at another engine', async (t) => {
-  const { clock, relay, upstreams } = createRelay([fallsSilent(200, 'id: 0\ndata: a\n\n'), answers(200, 'id: 1\ndata: b\n\n')])
+  const { clock, relay, upstreams } = createRelay([stalls(200, 'id: 0\ndata: a\n\n'), answers(200, 'id: 1\ndata: b\n\n')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\ndata: b\n\n')
@@ -456,12 +456,12 @@
 })
 
 test('an engine is not given up for a caller that is slow to read', async (t) => {
-  const { clock, relay, upstreams, placer } = createRelay([endsUnlessGivenUp(200, ['id: 0\ndata: a\n\n', 'id: 1\ndata: b\n\n'])])
+  const { clock, relay, upstreams, placer } = createRelay([endsUnlessAborted(200, ['id: 0\ndata: a\n\n', 'id: 1\ndata: b\n\n'])])
   const caller = new RecordingCaller()
-  caller.readsNothing = true
+  caller.stopsReading = true
   const work = relay.relay(requestTo('/reply/1'), caller)
   await clock.advance(5000)
-  caller.readAgain()
+  caller.resumeReading()
   await clock.run(work)
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\ndata: b\n\n')
   t.true(caller.whole)
@@ -470,20 +470,20 @@
 })
 
 test('an engine that falls silent behind a caller that is slow to read is given up once the caller reads', async (t) => {
-  const { clock, relay, upstreams } = createRelay([fallsSilent(200, 'id: 0\ndata: a\n\n'), answers(200, 'id: 1\ndata: b\n\n')])
+  const { clock, relay, upstreams } = createRelay([stalls(200, 'id: 0\ndata: a\n\n'), answers(200, 'id: 1\ndata: b\n\n')])
   const caller = new RecordingCaller()
-  caller.readsNothing = true
+  caller.stopsReading = true
   const work = relay.relay(requestTo('/reply/1'), caller)
   await clock.advance(3000)
   t.false(upstreams.runs[0].opts.signal.aborted)
-  caller.readAgain()
+  caller.resumeReading()
   await clock.run(work, 2000)
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\ndata: b\n\n')
   t.true(caller.whole)
 })
 
 test('a stream that may not be resumed is waited for while its caller waits', async (t) => {
-  const { clock, relay, upstreams } = createRelay([fallsSilent(200, 'id: 0\ndata: a\n\n')])
+  const { clock, relay, upstreams } = createRelay([stalls(200, 'id: 0\ndata: a\n\n')])
   const caller = new RecordingCaller()
   const work = relay.relay(requestTo('/draft/1'), caller)
   await clock.advance(9000)
@@ -495,7 +495,7 @@
 
 test('an engine that leaves after the request was placed there gets no prompt', async (t) => {
   const { clock, relay, upstreams, engines } = createRelay([answers(200, 'data: line\n\n')])
-  leave(engines, 'd1')
+  startDraining(engines, 'd1')
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.is(upstreams.prefills.length, 1)
@@ -505,7 +505,7 @@
 
 test('an engine that leaves while the prompt is read elsewhere does not get the request', async (t) => {
   const { clock, relay, upstreams, engines } = createRelay([answers(200, 'data: line\n\n')])
-  upstreams.onPrefill = () => { leave(engines, 'd1') }
+  upstreams.onPrefill = () => { startDraining(engines, 'd1') }
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.is(upstreams.runs[0].instance, 'd2')
--- a/request/relay/test/requestEnded.ts
+++ b/request/relay/test/requestEnded.ts
@@ -1,28 +1,28 @@
 import { LogEvent } from '@reelspan/telemetry.log'
 import test from 'ava'
-import { answers, breaksOff, createRelay, RecordingCaller, refuses, requestTo, silent } from './__utils__/createRelay.js'
+import { answers, aborts, createRelay, RecordingCaller, refuses, requestTo, hangs } from './__utils__/createRelay.js'
 
-function endOf ({ log }: ReturnType<typeof createRelay>) {
+function endedLogFields ({ log }: ReturnType<typeof createRelay>) {
   return log.entries.find(({ event }) => event === LogEvent.RequestEnded)?.fields
 }
 
 test('the line of a request that ended says what its route wants, and the status that was passed on', async (t) => {
   const relay = createRelay([answers(500, 'oops')])
   await relay.clock.run(relay.relay.relay(requestTo('/fetch/1'), new RecordingCaller()))
-  t.like(endOf(relay), { route: 'fetch', kind: 'call', ttftTargetMs: 200, tbtTargetMs: undefined, status: 500 })
+  t.like(endedLogFields(relay), { route: 'fetch', kind: 'call', ttftTargetMs: 200, tbtTargetMs: undefined, status: 500 })
 })
 
 test('the line of a request that ended says when an upstream was last sent it', async (t) => {
-  const relay = createRelay([silent(), answers(200, 'state')])
+  const relay = createRelay([hangs(), answers(200, 'state')])
   await relay.clock.run(relay.relay.relay(requestTo('/status/1'), new RecordingCaller()))
-  t.like(endOf(relay), { kind: 'repeatableCall', lastSentMs: 300, status: 200 })
+  t.like(endedLogFields(relay), { kind: 'repeatableCall', lastSentMs: 300, status: 200 })
 })
 
 test('the line of a request that no upstream was sent does not say that one was', async (t) => {
   const relay = createRelay([])
   relay.relay.closeForNew()
   await relay.clock.run(relay.relay.relay(requestTo('/reply/1'), new RecordingCaller()))
-  const end = endOf(relay)
+  const end = endedLogFields(relay)
   t.like(end, { kind: 'resumableStream', tbtTargetMs: 76 })
   t.is(end?.lastSentMs, undefined)
   t.is(end?.status, undefined)
@@ -42,18 +42,18 @@
 })
 
 test('a run that broke off is told of, with what its attempts have in common', async (t) => {
-  const { clock, relay, probe, log } = createRelay([breaksOff(200, ['id: 0\ndata: a\n\n']), breaksOff(200, [])])
+  const { clock, relay, probe, log } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), aborts(200, [])])
   probe.ended.add('10.0.1.1:1')
   await clock.run(relay.relay(requestTo('/draft/1', { id: 'first' }), new RecordingCaller()))
   await clock.run(relay.relay(requestTo('/draft/1', { id: 'second' }), new RecordingCaller()))
   await clock.advance(10)
-  const told = log.entries.filter(({ event }) => event === LogEvent.RunBrokeOff).map(({ fields }) => fields)
-  t.like(told, [{ request: 'first', upstream: 'd1', presence: 'refuses' }, { request: 'second', upstream: 'd2', presence: 'listens' }])
-  t.is(told[0]?.contentHash, told[1]?.contentHash)
+  const interruptions = log.entries.filter(({ event }) => event === LogEvent.RunBrokeOff).map(({ fields }) => fields)
+  t.like(interruptions, [{ request: 'first', upstream: 'd1', presence: 'refuses' }, { request: 'second', upstream: 'd2', presence: 'listens' }])
+  t.is(interruptions[0]?.contentHash, interruptions[1]?.contentHash)
 })
 
 test('a run that was ended here, or never sent, is not told of as broken off', async (t) => {
-  const { clock, relay, log } = createRelay([silent(), refuses(), refuses(), refuses()])
+  const { clock, relay, log } = createRelay([hangs(), refuses(), refuses(), refuses()])
   const caller = new RecordingCaller()
   const ended = relay.relay(requestTo('/draft/1'), caller)
   await clock.advance(100)
--- a/request/relay/test/upstreamLimits.ts
+++ b/request/relay/test/upstreamLimits.ts
@@ -73,12 +73,12 @@
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d1'])
   limit(upstreamStates, ['d2'])
-  placer.asked.length = 0
+  placer.requests.length = 0
   const again = new RecordingCaller()
   upstreams.runs.length = 0
   await clock.run(relay.relay(requestTo('/draft/2', { id: 'r2' }), again))
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d2'])
-  t.true(placer.asked[1].avoid.includes('d1'))
+  t.true(placer.requests[1].avoid.includes('d1'))
   t.is(placer.placed - placer.released, 0)
   t.deepEqual(again.refused, undefined)
 })
--- a/request/relay/test/upstreamPicker.ts
+++ b/request/relay/test/upstreamPicker.ts
@@ -26,20 +26,20 @@
 
 test('a call goes to another zone when two of this box are under way in its own', (t) => {
   const { picker } = createPicker()
-  picker.noteStart('a1')
+  picker.recordStart('a1')
   t.is(picker.pick(LISTED, NONE)?.name, 'a1')
-  picker.noteStart('a1')
+  picker.recordStart('a1')
   t.not(picker.pick(LISTED, NONE)?.name, 'a1')
-  picker.noteEnd('a1')
+  picker.recordEnd('a1')
   t.is(picker.pick(LISTED, NONE)?.name, 'a1')
 })
 
 test('an upstream whose calls take long, or that turns calls away, is left for others until that was some seconds ago', async (t) => {
   const { clock, picker } = createPicker()
   for (let i = 0; i < 5; i++) {
-    picker.noteTime('a1', 300)
-    picker.noteTime('b1', 60)
-    picker.noteTime('c1', 80)
+    picker.recordLatency('a1', 300)
+    picker.recordLatency('b1', 60)
+    picker.recordLatency('c1', 80)
   }
   t.is(picker.pick(LISTED, NONE)?.name, 'b1')
   await clock.advance(10_000)
@@ -50,7 +50,7 @@
   const { picker } = createPicker()
   const random = new SeededRandom(4)
   const names = ['a1', 'b1', 'c1']
-  for (let i = 0; i < 30; i++) picker.noteTime(names[i % 3], 60 + 30 * (random.nextFloat() - 0.5))
+  for (let i = 0; i < 30; i++) picker.recordLatency(names[i % 3], 60 + 30 * (random.nextFloat() - 0.5))
   t.is(picker.pick(LISTED, NONE)?.name, 'a1')
 })
 
@@ -63,21 +63,21 @@
 test('an upstream that started again is not held for how long calls took before, nor for those that are under way there', async (t) => {
   const { clock, picker } = createPicker()
   for (let i = 0; i < 5; i++) {
-    picker.noteTime('a1@1000', 900)
-    picker.noteTime('b1', 60)
-    picker.noteTime('c1', 60)
-    picker.noteStart('a1@1000')
+    picker.recordLatency('a1@1000', 900)
+    picker.recordLatency('b1', 60)
+    picker.recordLatency('c1', 60)
+    picker.recordStart('a1@1000')
   }
   t.not(picker.pick([upstream('a1@1000', 'a'), upstream('b1', 'b'), upstream('c1', 'c')], NONE)?.name, 'a1@1000')
   const restarted = [upstream('a1@2000', 'a'), upstream('b1', 'b'), upstream('c1', 'c')]
   picker.retain(new Set(restarted.map(({ name }) => name)))
   t.is(picker.inFlightAt('a1@2000'), 0)
-  const neverSeen = [upstream('a2', 'a'), upstream('b1', 'b'), upstream('c1', 'c')]
-  t.is(picker.pick(restarted, NONE)?.name === 'a1@2000', picker.pick(neverSeen, NONE)?.name === 'a2')
+  const withUnknown = [upstream('a2', 'a'), upstream('b1', 'b'), upstream('c1', 'c')]
+  t.is(picker.pick(restarted, NONE)?.name === 'a1@2000', picker.pick(withUnknown, NONE)?.name === 'a2')
   // What an upstream that was never seen is taken for, the mean of all calls, is what all come back to.
   await clock.advance(20_000)
   t.is(picker.pick(restarted, NONE)?.name, 'a1@2000')
-  Array.from({ length: 5 }, () => picker.noteEnd('a1@1000'))
+  Array.from({ length: 5 }, () => picker.recordEnd('a1@1000'))
   t.is(picker.inFlightAt('a1@2000'), 0)
   t.is(picker.inFlightAt('a1@1000'), 0)
 })
--- a/request/relay/test/upstreamSignals.ts
+++ b/request/relay/test/upstreamSignals.ts
@@ -10,7 +10,7 @@
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d2'])
   t.is(upstreams.freed.length, 1)
-  t.true(placer.asked[1].avoid.includes('d1'))
+  t.true(placer.requests[1].avoid.includes('d1'))
   t.true(caller.whole)
 })
 
@@ -28,10 +28,10 @@
   const { clock, relay, placer, backoffs } = createRelay([answers(200, 'data: 1\n\n'), answers(200, 'data: 1\n\n')])
   backoffs.start('d3', 3000)
   await clock.run(relay.relay(requestTo('/draft/1'), new RecordingCaller()))
-  t.deepEqual(placer.asked[0].avoid, ['d3'])
+  t.deepEqual(placer.requests[0].avoid, ['d3'])
   await clock.advance(3000)
   await clock.run(relay.relay(requestTo('/draft/2', { id: 'r2' }), new RecordingCaller()))
-  t.deepEqual(placer.asked[1].avoid, [])
+  t.deepEqual(placer.requests[1].avoid, [])
 })
 
 test('a call goes to another service while one asked for a wait, and no caller waits for it', async (t) => {
