--- a/request/identity/src/once.ts
+++ b/request/identity/src/once.ts
@@ -1,4 +1,4 @@
-/** Makes a value when it is first asked for, and the same one from then on. */
+/** Creates a value on the first call and returns the same value on later calls. */
 export function once<T> (create: () => T): () => T {
   let cached: { value: T } | undefined
   return () => {
--- a/request/identity/src/requestIdentity.ts
+++ b/request/identity/src/requestIdentity.ts
@@ -3,20 +3,20 @@
 import { type RelayedRequest } from '@reelspan/upstream.client'
 
 /**
- * What the attempts of one request have in common, whatever their ids and whichever
- * box they reach. Hashes, since they are logged and told to other boxes.
+ * Identifies the attempts of one request, which have different ids and may reach different
+ * boxes. The fields are hashes, since they are logged and sent to other boxes.
  */
 export interface RequestIdentity {
-  /** What an upstream gets of it: path, parts of the prompt, body. */
+  /** Hash of what an upstream receives: path, prompt prefixes and body. */
   content: string
-  /** Who sends it. */
+  /** Hash of the caller. */
   caller: string
 }
 
-/** Enough of a hash that two requests of a fleet do not share it by chance: 96 bits. */
+/** Base64url characters of a hash: 96 bits make collisions within a fleet negligible. */
 const HASH_LENGTH = 16
 
-/** Of a request that is relayed as it came. What may differ from attempt to attempt, such as estimates, is left out. */
+/** Identity of a request that is relayed unchanged. Leaves out what may differ between attempts, such as estimates. */
 export function identityOfRelayed ({ method, host, target, prompt, body, callerAddress }: RelayedRequest): RequestIdentity {
   const hash = createHash('sha256')
   hashParts(hash, [method, host, target])
@@ -24,7 +24,7 @@
   return { content: truncatedDigest(hash.update(body)), caller: hashOf(callerAddress) }
 }
 
-/** Of a request of the project's own interface. */
+/** Identity of a request that came through the native API. */
 export function identityOfRouted (request: RoutedRequest): RequestIdentity {
   const hash = createHash('sha256')
   if (request.kind === RequestKind.Completion) hashParts(hash, [request.kind, request.route, request.model, request.maxTokens, request.prompt])
@@ -32,7 +32,7 @@
   return { content: truncatedDigest(hash), caller: hashOf(request.client) }
 }
 
-/** Each part ends, so that no two lists of parts are hashed alike. */
+/** Terminates each part with a NUL byte, so that different lists of parts have different hashes. */
 function hashParts (hash: Hash, parts: readonly (string | number)[]): Hash {
   parts.forEach((part) => hash.update(`${part}\0`))
   return hash
--- a/request/identity/test/requestIdentity.ts
+++ b/request/identity/test/requestIdentity.ts
@@ -16,13 +16,13 @@
 
 const CALL: ServiceRequest = { kind: RequestKind.Service, key: 'k1', route: 'desk', client: 'bank', notRepeatable: true, deadlineMs: 1000, method: 'POST', path: '/book', body: Buffer.from('ride') }
 
-test('attempts of one request have one identity, whatever their ids, headers and estimates', (t) => {
+test('attempts of one request have the same identity, whatever their ids, headers and estimates', (t) => {
   const retried = { ...RELAYED, id: 'b', headers: [], prompt: { ...RELAYED.prompt, expectedTokens: 90 } as RelayedRequest['prompt'], resumeAfter: '7' }
   t.deepEqual(identityOfRelayed(retried), identityOfRelayed(RELAYED))
   t.deepEqual(identityOfRouted({ ...CALL, key: 'k2', deadlineMs: 5 }), identityOfRouted(CALL))
 })
 
-test('another path, body, prompt or host is another content, with the same caller', (t) => {
+test('a different path, body, prompt or host changes the content hash and keeps the caller hash', (t) => {
   const { content, caller } = identityOfRelayed(RELAYED)
   const others = [
     { target: '/draft/2' },
@@ -35,13 +35,13 @@
   t.deepEqual([...new Set(others.map((other) => other.caller))], [caller])
 })
 
-test('another caller with the same content is told apart', (t) => {
+test('a different caller changes the caller hash and keeps the content hash', (t) => {
   const other = identityOfRelayed({ ...RELAYED, callerAddress: '10.9.0.2' })
   t.is(other.content, identityOfRelayed(RELAYED).content)
   t.not(other.caller, identityOfRelayed(RELAYED).caller)
   t.not(identityOfRouted({ ...CALL, client: 'telecom' }).caller, identityOfRouted(CALL).caller)
 })
 
-test('parts do not run into each other', (t) => {
+test('adjacent parts are hashed separately', (t) => {
   t.not(identityOfRelayed({ ...RELAYED, host: 'a', target: 'b/c' }).content, identityOfRelayed({ ...RELAYED, host: 'ab', target: '/c' }).content)
 })
--- a/request/key/src/formatKeyPrefix.ts
+++ b/request/key/src/formatKeyPrefix.ts
@@ -1,19 +1,19 @@
 import { createHash } from 'node:crypto'
 import { type KeyOwner } from './requestKey.js'
 
-/** Starts every key prefix that a box gave out. */
+/** Start of every key prefix that a box issues. */
 export const KEY_PREFIX_MARK = 'rs1-'
 
 const CHECKSUM_CHARS = 8
 
-/** The prefix that names `owner`, without the dot that ends it. It is no secret; its check code only finds typing errors. */
+/** Formats the prefix that names `owner`, without the terminating dot. It is not secret; its checksum only detects typing errors. */
 export function formatKeyPrefix (owner: KeyOwner): string {
   const fields = `${owner.peerAddress}|${owner.incarnation}|${Math.floor(owner.issuedAtMs)}`
   const encoded = Buffer.from(fields).toString('base64url')
   return `${KEY_PREFIX_MARK}${encoded}-${checksumOf(encoded)}`
 }
 
-/** The check code of the encoded fields. */
+/** Checksum of the encoded fields. */
 export function checksumOf (encoded: string): string {
   return createHash('sha256').update(encoded).digest('hex').slice(0, CHECKSUM_CHARS)
 }
--- a/request/key/src/requestKey.ts
+++ b/request/key/src/requestKey.ts
@@ -1,19 +1,19 @@
-/** The one box incarnation that may run a request, and when it gave out the key prefix. */
+/** The box incarnation that may run a request, and the time at which it issued the key prefix. */
 export interface KeyOwner {
-  /** `ip:port` for other boxes. */
+  /** `ip:port` at which other boxes reach the owner. */
   peerAddress: string
   incarnation: string
-  /** On the owner's own clock. Means nothing elsewhere. */
+  /** Monotonic time of the owner. Not comparable with the clock of any other process. */
   issuedAtMs: number
 }
 
-/** A key whose prefix came from a lookup. */
+/** A key whose prefix was issued by a lookup. */
 export interface OwnedKey {
   text: string
   owner: KeyOwner
 }
 
-/** A key of the caller's own making. It names no owner. */
+/** A key that the caller made up. It names no owner. */
 export interface PlainKey {
   text: string
   owner?: undefined
--- a/request/lookup/src/answerLookup.ts
+++ b/request/lookup/src/answerLookup.ts
@@ -7,11 +7,11 @@
   clock: Clock
   random: Random
   view: MembershipView
-  /** Requests in flight at a member, where known. */
+  /** Requests in flight at a member, if known. */
   loadOf: (incarnation: string) => number | undefined
   /** Prefers boxes of this availability zone. */
   availabilityZone?: string
-  /** How long callers may keep the answer. */
+  /** How long callers may cache the answer. */
   keepMs: number
   boxCount: number
 }
@@ -22,18 +22,18 @@
   availabilityZone: string
 }
 
-/** Which boxes to use, best first, and the start of the keys of new requests. */
+/** The boxes to use, in order of preference, and a key prefix for new requests. */
 export interface LookupAnswer {
   boxes: LookupBox[]
   keepMs: number
-  /** Names the box that answered as the owner of requests whose keys start so. */
+  /** Makes the box that answered the owner of requests whose keys start with it. */
   keyPrefix: string
 }
 
-/** How much a box in another availability zone is avoided: as if it had this many more requests. */
+/** A box in another availability zone is ranked as if it had this many more requests in flight. */
 const REMOTE_ZONE_PENALTY_REQUESTS = 20
 
-/** Answers a lookup from what this box knows, without asking anyone. */
+/** Answers a lookup from the local membership view, without any network call. */
 export function answerLookup (opts: LookupOptions): LookupAnswer {
   const { clock, view, boxCount, keepMs } = opts
   const ordered = shuffleByLoad(view.takingWork(), opts).slice(0, boxCount)
@@ -45,7 +45,7 @@
   }
 }
 
-/** A random order in which less loaded and nearer boxes come first more often, so that a box's share follows its room. */
+/** Weighted random order that prefers boxes with little load in the caller's zone, so that a box's share of lookups follows its free capacity. */
 function shuffleByLoad (members: readonly Member[], { random, loadOf, availabilityZone }: LookupOptions): Member[] {
   const known = members.flatMap(({ incarnation }) => loadOf(incarnation) ?? [])
   const meanLoad = known.length > 0 ? known.reduce((sum, load) => sum + load, 0) / known.length : 0
@@ -53,7 +53,7 @@
     .map((member) => {
       const isRemote = availabilityZone !== undefined && member.availabilityZone !== availabilityZone
       const load = (loadOf(member.incarnation) ?? meanLoad) + (isRemote ? REMOTE_ZONE_PENALTY_REQUESTS : 0)
-      // Exponential race: the chance to come first is inverse to the load.
+      // Exponential race: the probability of coming first is inversely proportional to 1 + load.
       return { member, time: -Math.log(1 - random.nextFloat()) * (1 + load) }
     })
     .sort((a, b) => a.time - b.time)
--- a/request/owner/src/completionRun.ts
+++ b/request/owner/src/completionRun.ts
@@ -20,24 +20,24 @@
   configuration: () => Configuration
   fleet: () => FleetList
   upstreamTimeoutMs: number
-  /** Told of answers of upstreams that broke off. */
+  /** Records answers of upstreams that were interrupted. */
   brokenRuns: BrokenRuns
 }
 
-/** Breaks of one decode stream that are mended by taking it up again. */
+/** How often one interrupted decode stream is resumed at its engine. */
 const MAX_RESUMES = 3
-/** Waits between tries to continue an answer that has begun. */
+/** Delay between attempts to continue an answer that has begun. */
 const CONTINUE_BACKOFF_MS = 100
 const MAX_ATTEMPTS = 8
 
-/** Runs one completion: place, prefill, decode; on a failure, again from what was generated so far. */
+/** Runs one completion: placement, prefill, decode. After a failure it starts again behind the tokens generated so far. */
 export class CompletionRun {
   readonly #opts: CompletionRunOptions
   readonly #run: RunContext
   readonly #request: CompletionRequest
   readonly #timings: RequestTimings
   readonly #failedEngines = new Set<string>()
-  /** What was generated, in the order in which the caller gets it. */
+  /** Generated tokens in order. */
   readonly #generated: string[] = []
   #firstTokenAtMs?: number
   #lastTokenAtMs?: number
@@ -70,7 +70,7 @@
     return this.#run.tryAcquireRetry()
   }
 
-  /** Places the request, or what is left of it. Only a request that no engine has begun is refused. */
+  /** Places the request, or the rest of it. Only a request that no engine has begun is refused. */
   async #place (label: HoldLabel): Promise<Placement> {
     const { clock, placer } = this.#opts
     while (true) {
@@ -99,7 +99,7 @@
       promptTokens: tokensOfText(prompt),
       prefixes: prefixDigests(prompt),
       maxTokens: maxTokens - this.#generated.length,
-      // A request that has begun and failed is finished late rather than left in doubt: any time left will do.
+      // A request that may have run is finished late rather than left with an unknown outcome, so only its deadline counts.
       ttftLeftMs: this.#run.mayHaveRun ? this.#run.remainingMs : ttftTargetMs - this.#run.elapsedMs,
       tbtTargetMs,
       deadlineMs: this.#run.remainingMs,
@@ -124,8 +124,8 @@
     try {
       await clock.sleep(plan.startInMs, { signal: this.#run.signal })
       await this.#run.checkBeforeSend()
-      // Waking late, the place that was kept for the end of this prefill may be another's by now.
-      if (clock.nowMs() - placedAtMs > plan.startWithinMs) throw new UpstreamError('the placement was not used in time', { mayHaveRun: false })
+      // After a late wake-up, the slot that was reserved for the end of this prefill may have been given to another request.
+      if (clock.nowMs() - placedAtMs > plan.startWithinMs) throw new UpstreamError('the reserved start time of the placement has passed', { mayHaveRun: false })
       await this.#prefillAndDecode(label, placement)
       finished = true
     } finally {
@@ -145,7 +145,7 @@
     this.#checkTakesWork(plan.decodeEngine)
     const prefilled = await this.#prefill(label, plan)
     placement.prefilled()
-    // What has begun and may not be repeated ends here or nowhere; an engine that leaves still serves.
+    // A non-repeatable request that has begun cannot move to another engine, and a draining engine still finishes its work.
     if (!this.#request.notRepeatable) this.#checkTakesWork(plan.decodeEngine)
     const tokensBefore = this.#generated.length
     try {
@@ -156,11 +156,11 @@
     }
   }
 
-  /** The scheduler may not have heard yet that an engine leaves, or it has begun to since it was chosen. */
+  /** The engine may have begun to drain after the scheduler's last update. */
   #checkTakesWork (engine: string): void {
     if (this.#opts.fleet().takesWork(engine)) return
     this.#failedEngines.add(engine)
-    throw new UpstreamError(`${engine} takes no more work`, { mayHaveRun: false, refused: true })
+    throw new UpstreamError(`${engine} does not accept new work`, { mayHaveRun: false, refused: true })
   }
 
   async #prefill (label: HoldLabel, plan: PlacementPlan): Promise<PrefillResult> {
@@ -169,11 +169,11 @@
     const result = await this.#trackFailure(plan.prefillEngine, plan.prefillAddress, () =>
       this.#run.dispatch(() => engines.prefill(plan.prefillAddress, request, this.#callOptions())))
     this.#timings.prefilledTokens += result.promptTokens - result.cachedTokens
-    if (!sameHolder(result.label, label)) throw new UpstreamError(`${plan.prefillEngine} answered another request`, { mayHaveRun: true })
+    if (!sameHolder(result.label, label)) throw new UpstreamError(`${plan.prefillEngine} returned the answer of a different request`, { mayHaveRun: true })
     return result
   }
 
-  /** Receives the stream, taking it up again after a break, until it is whole. */
+  /** Receives the stream until it is complete, resuming it after interruptions. */
   async #decode (label: HoldLabel, placement: Placement): Promise<void> {
     const firstIndex = this.#generated.length
     for (let resumes = 0; ; resumes++) {
@@ -203,9 +203,9 @@
     let ended = false
     await this.#trackFailure(plan.decodeEngine, plan.decodeAddress, async () => {
       for await (const event of engines.decode(plan.decodeAddress, request, this.#callOptions())) {
-        if (!sameHolder(event.label, label)) throw new UpstreamError(`${plan.decodeEngine} sent a part of another answer`, { mayHaveRun: true })
+        if (!sameHolder(event.label, label)) throw new UpstreamError(`${plan.decodeEngine} sent a token of a different answer`, { mayHaveRun: true })
         if (event.end) {
-          // Read on to the end of the stream: one that is left early costs its connection.
+          // Read to the end of the stream: abandoning it early would close its connection.
           this.#checkComplete(event.count, plan)
           ended = true
           continue
@@ -213,14 +213,14 @@
         this.#appendToken(event.index, event.text, plan)
         placement.progressed(this.#generated.length - firstIndex)
       }
-      if (!ended) throw new UpstreamError(`${plan.decodeEngine} broke the stream off`, { mayHaveRun: true })
+      if (!ended) throw new UpstreamError(`${plan.decodeEngine} closed the stream before its end`, { mayHaveRun: true })
     })
   }
 
-  /** Adds a token to the answer. One that came twice is dropped; a missing one breaks the stream. */
+  /** Appends a token to the answer. Ignores duplicates and fails the stream on a gap. */
   #appendToken (index: number, text: string, plan: PlacementPlan): void {
     if (index < this.#generated.length) return
-    if (index > this.#generated.length) throw new UpstreamError(`${plan.decodeEngine} left out a token`, { mayHaveRun: true })
+    if (index > this.#generated.length) throw new UpstreamError(`${plan.decodeEngine} skipped a token`, { mayHaveRun: true })
     const nowMs = this.#opts.clock.nowMs()
     this.#recordTokenTime(nowMs)
     this.#generated.push(text)
@@ -235,14 +235,14 @@
   }
 
   #checkComplete (count: number, plan: PlacementPlan): void {
-    if (count !== this.#generated.length) throw new UpstreamError(`${plan.decodeEngine} ended a stream that is not whole`, { mayHaveRun: true })
+    if (count !== this.#generated.length) throw new UpstreamError(`${plan.decodeEngine} ended an incomplete stream`, { mayHaveRun: true })
   }
 
   #callOptions () {
     return { timeoutMs: Math.min(this.#opts.upstreamTimeoutMs, Math.max(1, this.#run.remainingMs)), signal: this.#run.signal }
   }
 
-  /** Remembers an engine that failed, so that the next attempt goes elsewhere. */
+  /** Runs `work` and excludes the engine from later attempts if it fails. */
   async #trackFailure<T> (engine: string, address: string, work: () => Promise<T>): Promise<T> {
     const sentAtMs = this.#opts.clock.nowMs()
     try {
@@ -254,12 +254,12 @@
     }
   }
 
-  /** Frees both engines without waiting. What does not get through is found by the scheduler's sweep. */
+  /** Releases the holds at both engines without waiting. The scheduler's sweep finds holds that were not released. */
   #releaseEngines (label: HoldLabel, plan: PlacementPlan): void {
     const { engines, upstreamTimeoutMs } = this.#opts
     const addresses = [plan.prefillAddress, plan.decodeAddress]
     addresses.forEach((address) => {
-      // The client tells of a failure.
+      // The client reports failures.
       engines.release(address, label, { timeoutMs: upstreamTimeoutMs }).catch(() => {})
     })
   }
--- a/request/owner/src/owner.ts
+++ b/request/owner/src/owner.ts
@@ -17,13 +17,13 @@
 import { ServiceRun } from './serviceRun.js'
 import { TakeoverGuard } from './takeoverGuard.js'
 
-/** What this box is at the moment. */
+/** Present peer address and incarnation of this box. */
 export interface BoxIdentity {
   peerAddress: string
   incarnation: string
 }
 
-/** What the owner tells about its requests. */
+/** Callbacks for the life cycle of requests. */
 export interface OwnerEvents {
   onEnd?: (record: RequestRecord, request: RoutedRequest, timings: RequestTimings) => void
 }
@@ -38,32 +38,32 @@
   standing: () => BoxIdentity
   configuration: () => Configuration
   fleet: () => FleetList
-  /** A key prefix may start new requests for this long after it was given out. */
+  /** How long after its issue a key prefix may start new requests. */
   prefixLifeMs: number
-  /** How long a request without readers goes on, so that its caller can come back. */
+  /** How long a request without readers keeps running, so that its caller can reconnect. */
   rejoinGraceMs: number
   upstreamTimeoutMs: number
-  /** Told of answers of upstreams that broke off. */
+  /** Records answers of upstreams that were interrupted. */
   brokenRuns: BrokenRuns
-  /** Keeps requests from upstreams that have ended those that ran them. */
+  /** Blocks requests that have repeatedly made upstreams exit. */
   quarantine: Quarantine
-  /** When this process stood still. */
+  /** Detects pauses of this process. */
   pauses: PauseWatch
-  /** When most watched peers last answered. */
+  /** When most of the watched peers last answered. */
   lastContactMs: () => number
   hasPeers: () => boolean
-  /** Told of a task that a fault of the program ended. */
+  /** Called when a background task ends with an unexpected error. */
   onTaskError?: TaskErrorListener
 }
 
-/** Room for one token of an answer, in a record. */
+/** Bytes reserved in a record for each token of the answer. */
 const RECORD_BYTES_PER_TOKEN = 80
 const SERVICE_ANSWER_BYTES = 4096
 const RETRIES_PER_REQUEST = 0.1
 const MAX_BUDGETED_RETRIES = 20
 
 export interface SubmitOptions {
-  /** The owner that the key names is known to be gone, and the request may be repeated. */
+  /** The owner that the key names is known to be gone, so a repeatable request may run here. */
   takeOver?: boolean
 }
 
@@ -72,7 +72,7 @@
   incarnation: string
 }
 
-/** Runs the requests whose keys name this box incarnation, each at most once at a time, and keeps their answers. */
+/** Runs the requests whose keys name this box incarnation, each at most once at a time, and stores their answers. */
 export class Owner {
   readonly #opts: OwnerOptions
   readonly #tasks: TaskGroup
@@ -82,7 +82,7 @@
   readonly #ended = new Notifier()
   #sequence = 0
   #acceptingStopped = false
-  /** When this box ends whatever runs, on its clock. */
+  /** When this box aborts running requests, on its own clock. */
   #stopsAtMs = Number.POSITIVE_INFINITY
 
   constructor (opts: OwnerOptions) {
@@ -96,30 +96,30 @@
     return this.#running.size
   }
 
-  /** Starts the request, or joins it if its key is known. Throws a `ReelspanError` with the verdict otherwise. */
+  /** Starts the request, or joins the running or finished one with the same key. Throws a `ReelspanError` with a verdict if neither is possible. */
   submit (request: RoutedRequest, opts: SubmitOptions = {}): RequestRecord {
     const known = this.#opts.records.get(request.key)
     if (known) return this.#join(known, request)
     if (!opts.takeOver || request.notRepeatable) this.#checkKey(request)
     if (this.#acceptingStopped || this.#opts.clock.nowMs() + request.deadlineMs > this.#stopsAtMs) {
-      throw new ReelspanError(ErrorCode.Draining, 'this box is about to stop', { retryAfterMs: 0, hint: 'Ask for a new lookup.' })
+      throw new ReelspanError(ErrorCode.Draining, 'this box is draining', { retryAfterMs: 0, hint: 'Repeat the lookup.' })
     }
     const record = this.#opts.records.open(request.key, fingerprintOf(request), answerBytes(request))
     this.#start(record, request)
     return record
   }
 
-  /** Ends a running request for its caller. */
+  /** Cancels a running request on behalf of its caller. */
   cancel (key: string): void {
     this.#running.get(key)?.run.end(new ReelspanError(ErrorCode.Cancelled, 'the caller cancelled the request'))
   }
 
-  /** Ends everything, each request with the verdict that fits how far it came. */
+  /** Ends all running requests, each with the verdict that matches its progress. */
   endAll (code: ErrorCode, message: string): void {
     this.#running.forEach(({ run }) => run.end(new ReelspanError(code, message)))
   }
 
-  /** Which of these requests of an incarnation still run here. */
+  /** Returns those of an incarnation's requests that still run here. */
   vouch (ownerIncarnation: string, requestIds: readonly string[]): string[] {
     const live = new Set([...this.#running.values()]
       .filter(({ incarnation }) => incarnation === ownerIncarnation)
@@ -127,12 +127,12 @@
     return requestIds.filter((requestId) => live.has(requestId))
   }
 
-  /** This box ends within that time: new requests are taken only if their deadlines end before. */
+  /** Announces that this box stops after `durationMs`. Accepts only new requests whose deadlines end before. */
   endWithin (durationMs: number): void {
     this.#stopsAtMs = this.#opts.clock.nowMs() + durationMs
   }
 
-  /** From now on nothing new is started; known requests go on and can be joined. */
+  /** Refuses new requests from now on. Running requests continue and can be joined. */
   closeForNew (): void {
     this.#acceptingStopped = true
   }
@@ -143,11 +143,11 @@
   }
 
   async stop (): Promise<void> {
-    this.endAll(ErrorCode.Draining, 'the box stops')
+    this.endAll(ErrorCode.Draining, 'the box is shutting down')
     await this.#tasks.stop()
   }
 
-  /** State for the dump. */
+  /** Returns the state for the debug dump. */
   describe () {
     return {
       retryBudgetLeft: this.#retries.left,
@@ -157,8 +157,8 @@
 
   #join (record: RequestRecord, request: RoutedRequest): RequestRecord {
     if (record.fingerprint === fingerprintOf(request)) return record
-    throw new ReelspanError(ErrorCode.KeyReused, 'the key was used for a different request before', {
-      hint: 'Give each request a key of its own.',
+    throw new ReelspanError(ErrorCode.KeyReused, 'the key was already used for a different request', {
+      hint: 'Use a new key for each request.',
     })
   }
 
@@ -169,20 +169,20 @@
     const { incarnation } = standing()
     const issuerClockMs = owner.incarnation === incarnation ? clock.nowMs() : records.clockOf(owner.incarnation)
     if (issuerClockMs === undefined) {
-      throw new ReelspanError(ErrorCode.OwnerGone, 'the process that the key names is gone, and its records with it', {
+      throw new ReelspanError(ErrorCode.OwnerGone, 'the process that the key names has exited, and its records are lost', {
         verdict: Verdict.MayHaveRun,
-        hint: 'Find out what became of the request before sending it again under a new key.',
+        hint: 'Check whether the request took effect before sending it again with a new key.',
       })
     }
     if (issuerClockMs - owner.issuedAtMs > prefixLifeMs) {
-      throw new ReelspanError(ErrorCode.KeyExpired, 'the key is too old to tell whether it was used', {
+      throw new ReelspanError(ErrorCode.KeyExpired, 'the key prefix has expired, so whether the key was used is unknown', {
         verdict: Verdict.MayHaveRun,
-        hint: 'Take a new key prefix from a lookup for each request.',
+        hint: 'Get a new key prefix from a lookup for each request.',
       })
     }
     if (owner.incarnation !== incarnation) {
-      throw new ReelspanError(ErrorCode.OwnerReplaced, 'the box that the key names has stopped, and the request had not reached it', {
-        hint: 'Ask for a new lookup and send the request under a new key.',
+      throw new ReelspanError(ErrorCode.OwnerReplaced, 'the box that the key names has stopped without receiving the request', {
+        hint: 'Repeat the lookup and send the request with a new key.',
         retryAfterMs: 0,
       })
     }
@@ -199,7 +199,7 @@
       deadlineMs: request.deadlineMs,
       requestId: (this.#sequence++).toString(36),
       isCurrentIncarnation,
-      // Nobody else runs what may not be repeated, whatever became of this box.
+      // A non-repeatable request is never run by another box, even if this one was replaced.
       isExclusive: () => request.notRepeatable || (isCurrentIncarnation() && this.#takeoverGuard.isExclusiveSince(acceptedAtMs)),
       tryAcquireRetry: () => this.#retries.tryAcquireRetry(),
       refusal: () => this.#opts.quarantine.refusalOf(identity),
@@ -229,14 +229,14 @@
     const { records, onEnd } = this.#opts
     run.close()
     records.close(record.key)
-    // A refused request did not run, so the same key may be sent again.
+    // The request has not run, so its key may be used again.
     if (record.final?.verdict === Verdict.NotRun) records.remove(record.key)
     this.#running.delete(record.key)
     this.#ended.notify()
     onEnd?.(record, request, timings)
   }
 
-  /** Cancels a request that nobody has read for a while. */
+  /** Cancels a request that has had no reader for `rejoinGraceMs`. */
   async #cancelUnread (run: RunContext): Promise<void> {
     const { clock, rejoinGraceMs } = this.#opts
     const { record, signal } = run
@@ -247,7 +247,7 @@
       const rejoined = record.waitUntilRead(AbortSignal.any([signal, graceExpired.signal]))
       await Promise.race([rejoined, clock.sleep(rejoinGraceMs, { signal })])
       graceExpired.abort(STOPPED)
-      if (record.readers === 0) run.end(new ReelspanError(ErrorCode.Cancelled, 'the caller went away'))
+      if (record.readers === 0) run.end(new ReelspanError(ErrorCode.Cancelled, 'the caller disconnected'))
     }
   }
 }
--- a/request/owner/src/reportInterruption.ts
+++ b/request/owner/src/reportInterruption.ts
@@ -4,7 +4,7 @@
 import { UpstreamError } from '@reelspan/upstream.client'
 import { type RunContext } from './runContext.js'
 
-/** What was sent to an upstream, and when. */
+/** A request, the upstream that it was sent to, and the time of sending. */
 export interface SentRequest {
   request: RoutedRequest
   upstream: string
@@ -12,7 +12,7 @@
   sentAtMs: number
 }
 
-/** Has an upstream looked at whose answer broke off. A run that was ended here says nothing of the upstream. */
+/** Records an interrupted answer, so that its upstream is checked. Skips runs that were ended locally, since those say nothing about the upstream. */
 export function reportInterruption (interruptedRuns: BrokenRuns, run: RunContext, { request, upstream, address, sentAtMs }: SentRequest, thrown: unknown): void {
   if (!(thrown instanceof UpstreamError) || !thrown.brokeOff || run.signal.aborted) return
   const { key, route } = request
--- a/request/owner/src/requestTimings.ts
+++ b/request/owner/src/requestTimings.ts
@@ -1,11 +1,11 @@
-/** How a completion went, for metrics. */
+/** Timings and token counts of a completion, for metrics. */
 export interface RequestTimings {
   /** From acceptance to the first token. */
   ttftMs?: number
   /** Times between tokens. */
   tbtMs: number[]
-  /** Prompt tokens that engines computed (not from their caches) for this request. */
+  /** Prompt tokens that engines computed for this request, without cache hits. */
   prefilledTokens: number
-  /** Those of them whose result came to nothing. */
+  /** Computed prompt tokens whose result was not used. */
   wastedPrefillTokens: number
 }
--- a/request/owner/src/retryBudget.ts
+++ b/request/owner/src/retryBudget.ts
@@ -1,11 +1,11 @@
 export interface RetryBudgetOptions {
   /** Retries that each request adds to the budget. */
   perRequest: number
-  /** The budget's upper bound at present, and what it starts with. */
+  /** Present upper bound of the budget, and its initial value. */
   maxRetries: () => number
 }
 
-/** Keeps retries a small part of all requests, so that a failing upstream is not buried in them. */
+/** Token bucket that limits retries to a small share of all requests, so that they do not overload a failing upstream. */
 export class RetryBudget {
   readonly #opts: RetryBudgetOptions
   #left: number
@@ -23,7 +23,7 @@
     this.#left = Math.min(this.#opts.maxRetries(), this.#left + this.#opts.perRequest)
   }
 
-  /** Takes one retry from the budget, if there is one. */
+  /** Takes one retry from the budget. Returns false if the budget is exhausted. */
   tryAcquireRetry (): boolean {
     if (this.#left < 1) return false
     this.#left--
--- a/request/owner/src/runContext.ts
+++ b/request/owner/src/runContext.ts
@@ -8,23 +8,23 @@
   clock: Clock
   record: RequestRecord
   deadlineMs: number
-  /** When the request came, if that was before its run began. */
+  /** When the request arrived, if that was before its run began. */
   arrivedAtMs?: number
   /** Unique within this incarnation. */
   requestId: string
   /** Whether this box is still the incarnation that started the run. */
   isCurrentIncarnation: () => boolean
   tryAcquireRetry: () => boolean
-  /** Whether nobody else can have run the request in the meantime. */
+  /** Whether no other box can have run the request in the meantime. */
   isExclusive: () => boolean
-  /** Why the request must not be sent to any upstream now, if it must not. */
+  /** Why the request must not be sent to any upstream now, or undefined if it may be. */
   refusal: () => ReelspanError | undefined
 }
 
-/** When to come back after a refusal that knows no better time. */
+/** Retry delay of a refusal that has no better estimate. */
 const DEFAULT_RETRY_AFTER_MS = 1000
 
-/** One run of a request: its deadline, its end, and what is known of whether an upstream has begun it. */
+/** One run of a request: its deadline, its end, and whether an upstream may have begun it. */
 export class RunContext {
   readonly record: RequestRecord
   readonly #opts: RunContextOptions
@@ -41,7 +41,7 @@
     this.#startedAtMs = opts.arrivedAtMs ?? opts.clock.nowMs()
   }
 
-  /** Aborted when the run is over, for whatever reason. */
+  /** Aborted when the run ends for any reason. */
   get signal (): AbortSignal {
     return this.#abort.signal
   }
@@ -54,7 +54,7 @@
     return this.#opts.clock.nowMs() - this.#startedAtMs
   }
 
-  /** When an upstream was last sent the request, since its start. */
+  /** When the request was last sent to an upstream, relative to the start of the run. */
   get lastSentMs (): number | undefined {
     return this.#lastSentMs
   }
@@ -63,7 +63,7 @@
     return this.#opts.deadlineMs - this.elapsedMs
   }
 
-  /** Names the current attempt. What an engine holds for an earlier one is vouched for no more. */
+  /** Id of the current attempt. Holds of earlier attempts are not confirmed to schedulers, so they are released. */
   get currentRequestId (): string {
     return `${this.#opts.requestId}.${this.#attempt}`
   }
@@ -77,17 +77,17 @@
     return this.#opts.tryAcquireRetry()
   }
 
-  /** Right before a message that an upstream acts on: reads what has come in, then checks that the run still stands. */
+  /** Called right before a message that an upstream acts on: processes pending input, then throws if the run must not go on. */
   async checkBeforeSend (): Promise<void> {
     await this.#opts.clock.settle()
-    if (!this.#opts.isCurrentIncarnation()) this.end(new ReelspanError(ErrorCode.OwnerGone, 'this box was declared gone'))
+    if (!this.#opts.isCurrentIncarnation()) this.end(new ReelspanError(ErrorCode.OwnerGone, 'this box was declared gone by its peers'))
     const refusal = this.#opts.refusal()
     if (refusal) this.end(refusal)
     if (this.remainingMs <= 0) this.#endAtDeadline()
     this.throwIfEnded()
   }
 
-  /** Ends a run that waits for its first upstream, if it must not be sent to any more. */
+  /** Ends a run that has not been sent to any upstream yet, if it must not be sent any more. */
   endIfRefused (): void {
     if (this.#lastSentMs !== undefined) return
     const refusal = this.#opts.refusal()
@@ -99,9 +99,8 @@
   }
 
   /**
-   * Sends something that makes an upstream begin the request. From here on it
-   * may have run, unless the upstream is known not to have begun this or
-   * anything before.
+   * Sends a message that makes an upstream begin the request. From then on the request may have run,
+   * unless the upstream is known not to have begun it and no earlier attempt may have run.
    */
   dispatch<T> (send: () => Promise<T>): Promise<T> {
     return this.dispatchOnSend((markSent) => {
@@ -110,7 +109,7 @@
     })
   }
 
-  /** Like `dispatch`, but the request may have run only from when the sender says that it sends. */
+  /** Like `dispatch`, but the request counts as possibly run only from the moment at which `send` calls its argument. */
   async dispatchOnSend<T> (send: (sent: () => void) => Promise<T>): Promise<T> {
     const mayHaveRunBefore = this.#mayHaveRun
     const markSent = () => {
@@ -126,7 +125,7 @@
     }
   }
 
-  /** Ends the request with its final answer, at once. Only the first end counts. */
+  /** Ends the request with an error as its final answer. Later calls have no effect. */
   end (error: ReelspanError): void {
     if (error instanceof RunEnded) return
     const verdict = this.#mayHaveRun || !this.#opts.isExclusive() ? Verdict.MayHaveRun : Verdict.NotRun
@@ -139,7 +138,7 @@
     this.#abort.abort(STOPPED)
   }
 
-  /** Frees what waits on the run. A run without a final answer gets one. */
+  /** Aborts the run's signal. Adds a final answer if the run has none. */
   close (): void {
     if (!this.record.final) this.end(new ReelspanError(ErrorCode.Internal, 'the run ended without an answer'))
     this.#abort.abort(STOPPED)
@@ -148,7 +147,7 @@
   async enforceDeadline (): Promise<void> {
     const { clock } = this.#opts
     await clock.sleep(this.remainingMs, { signal: this.signal })
-    // After a pause of this process, an answer that came in time may still be waiting to be read.
+    // After a pause of this process, an answer that arrived in time may still be unread.
     await clock.settle()
     if (!this.signal.aborted) this.#endAtDeadline()
   }
@@ -170,7 +169,7 @@
   }
 }
 
-/** Unwinds a run whose final answer stands already. */
+/** Unwinds a run that already has its final answer. */
 class RunEnded extends ReelspanError {
   constructor () {
     super(ErrorCode.Cancelled, 'the run has ended')
--- a/request/owner/src/serviceRun.ts
+++ b/request/owner/src/serviceRun.ts
@@ -14,14 +14,14 @@
   services: ServiceClient
   configuration: () => Configuration
   fleet: () => FleetList
-  /** Told of answers of upstreams that broke off. */
+  /** Records answers of upstreams that were interrupted. */
   brokenRuns: BrokenRuns
 }
 
 const NO_UPSTREAM_RETRY_AFTER_MS = 1000
 const MAX_ATTEMPTS = 4
 
-/** Runs one call to a plain service. */
+/** Runs one call to a service upstream. */
 export class ServiceRun {
   readonly #opts: ServiceRunOptions
   readonly #run: RunContext
@@ -64,11 +64,11 @@
         reportInterruption(brokenRuns, this.#run, { request: this.#request, upstream: name, address, sentAtMs }, thrown)
         throw thrown
       })
-    if (reply.requestKey !== key) throw new UpstreamError(`${name} answered another request`, { mayHaveRun: true })
+    if (reply.requestKey !== key) throw new UpstreamError(`${name} returned the answer of a different request`, { mayHaveRun: true })
     return reply
   }
 
-  /** A call that may have run is sent again only if the caller said that it may be. */
+  /** A call that may have run is retried only if the caller declared it repeatable. */
   #mayRetry (thrown: unknown, attempt: number): boolean {
     if (!(thrown instanceof UpstreamError) || attempt >= MAX_ATTEMPTS) return false
     if (this.#run.mayHaveRun && this.#request.notRepeatable) return false
@@ -78,7 +78,7 @@
   #pick (): ListedUpstream {
     const { random, fleet, configuration } = this.#opts
     const pool = configuration().route(this.#request.route)?.pool
-    if (pool === undefined) throw new ReelspanError(ErrorCode.NoRoute, `there is no route ${this.#request.route} any more`)
+    if (pool === undefined) throw new ReelspanError(ErrorCode.NoRoute, `route ${this.#request.route} no longer exists`)
     const candidates = fleet().takingWork(pool).filter(({ name }) => !this.#tried.has(name))
     const [upstream] = random.sample(candidates, 1)
     if (!upstream) {
--- a/request/owner/src/takeoverGuard.ts
+++ b/request/owner/src/takeoverGuard.ts
@@ -2,18 +2,18 @@
 
 export interface TakeoverGuardOptions {
   pauses: PauseWatch
-  /** When most watched peers last answered; a box without peers needs none. */
+  /** When most of the watched peers last answered. Ignored if the box has no peers. */
   lastContactMs: () => number
   hasPeers: () => boolean
 }
 
-/** Shorter than anyone needs to take over a paused process's requests. */
+/** Minimum length of a pause that counts: shorter than any takeover of a paused box's requests. */
 const PAUSE_MS = 300
 
 /**
- * Knows whether the process was paused. While it slept it may have been declared
- * gone, and what may be repeated may have been run elsewhere: it can no longer
- * say of such a request that it did not run.
+ * Detects whether another box may have taken over requests while this process was paused.
+ * During a pause this box may have been declared gone and its repeatable requests run
+ * elsewhere, so it can no longer answer that such a request did not run.
  */
 export class TakeoverGuard {
   readonly #opts: TakeoverGuardOptions
@@ -22,7 +22,7 @@
     this.#opts = opts
   }
 
-  /** Whether nobody can have taken over a request that was accepted here at a time. */
+  /** Whether no other box can have taken over a request that was accepted here at `acceptedAtMs`. */
   isExclusiveSince (acceptedAtMs: number): boolean {
     const { pauses, lastContactMs, hasPeers } = this.#opts
     const resumedAtMs = pauses.wokeAtMs(PAUSE_MS)
--- a/request/quarantine/src/interruptedRuns.ts
+++ b/request/quarantine/src/interruptedRuns.ts
@@ -5,22 +5,22 @@
 import { type Metrics } from '@reelspan/telemetry.metrics'
 import { UpstreamPresence, type UpstreamProbe } from '@reelspan/upstream.client'
 
-/** A request that an upstream was sent, and whose answer broke off or did not come. */
+/** A request that was sent to an upstream and whose answer was interrupted or did not arrive. */
 export interface InterruptedRun {
-  /** Names the attempt. */
+  /** Id of the attempt. */
   request: string
   route: string
   identity: RequestIdentity
   upstream: string
   address: string
-  /** When the upstream was sent the request. */
+  /** When the request was sent to the upstream. */
   sentAtMs: number
   reason: string
 }
 
-/** A broken run whose upstream's process has ended. */
+/** An interrupted run whose upstream's process has exited. */
 export interface UpstreamExitRun extends InterruptedRun {
-  /** When the run broke off. */
+  /** When the run was interrupted. */
   brokeAtMs: number
 }
 
@@ -29,26 +29,26 @@
   probe: UpstreamProbe
   log: Log
   metrics: Metrics
-  /** The list that this box acts by. */
+  /** The list of upstreams in force at this box. */
   fleet: () => FleetList
-  /** The upstream's process was found to have ended. */
+  /** Called when the upstream's process is found to have exited. */
   onUpstreamEnded: (run: UpstreamExitRun) => void
 }
 
-/** The list drops an upstream that ends after three signs of life have failed to come, some 4 s; it may be told late. */
+/** The list removes an exited upstream after three missed heartbeats, some 4 s; the rest allows for late updates. */
 const UNDETERMINED_TTL_MS = 15_000
-/** Runs of which it is not known whether their upstream has ended; the oldest give way. Four engines full of them. */
+/** Bound on runs whose upstream's state is unknown; the oldest are dropped first. Covers four engines with all slots in use. */
 const MAX_UNDETERMINED = 256
 
 /**
- * Looks what became of upstreams whose answers broke off. A connection that is cut says
- * the same of an upstream that has ended as of one that goes on: only the former can
- * have ended because of the request. Where the upstream's address is silent, as behind
- * a cut, the list tells.
+ * Finds out whether upstreams whose answers were interrupted have exited. An interrupted
+ * connection looks the same for an exited upstream as for a running one, but only an upstream
+ * that exited can have done so because of the request. If the upstream's address does not
+ * respond, as during a network partition, the list of upstreams decides.
  */
 export class InterruptedRuns {
   readonly #opts: InterruptedRunsOptions
-  /** Looks under way, by address: all that ran on an upstream breaks off at once. */
+  /** Checks in flight by address, since all runs of an upstream are interrupted at the same time. */
   readonly #pendingChecks = new Map<string, Promise<UpstreamPresence>>()
   #undetermined: UpstreamExitRun[] = []
 
@@ -56,7 +56,7 @@
     this.#opts = opts
   }
 
-  /** Resolves once it has been looked and told. Never throws. */
+  /** Checks the upstream and logs the result. Never rejects. */
   async record (run: InterruptedRun): Promise<void> {
     const interrupted = { ...run, brokeAtMs: this.#opts.clock.nowMs() }
     const presence = await this.#checkUpstream(run.address)
@@ -65,7 +65,7 @@
     if (presence === UpstreamPresence.Silent) this.#undetermined = [...this.#undetermined, interrupted].slice(-MAX_UNDETERMINED)
   }
 
-  /** The list has changed: upstreams that are gone from it without having said that they leave have ended. */
+  /** Called when the list changes: upstreams that were removed from it without draining first have exited. */
   noteFleet (): void {
     const { clock, fleet, onUpstreamEnded } = this.#opts
     const list = fleet()
--- a/request/quarantine/src/judgeRequest.ts
+++ b/request/quarantine/src/judgeRequest.ts
@@ -3,24 +3,24 @@
 import { type PastRun, type RunHistory } from './runHistory.js'
 
 /**
- * Upstreams that a request may end, one after the other, before it is not run any more. The users
- * allow three. A bystander is not at as many ends: on a day of theirs two requests ended 20 engines
- * within 34 s and cut 35 other streams, each once (counted from the boxes' logs).
+ * Successive upstream exits after which a request is quarantined. Users accept the loss of three
+ * upstreams. Unrelated requests run at fewer exits: in one incident, two requests made 20 engines exit
+ * within 34 s and interrupted 35 other streams, each only once.
  */
 export const MAX_UPSTREAM_EXITS = 3
-/** As long as another request was at all the same ends, either may be the cause. The next run without the other tells. */
+/** Applies while another request ran at all the same exits, so that either may be the cause. The next run without the other decides. */
 export const MAX_UPSTREAM_EXITS_IF_AMBIGUOUS = 5
 
 /**
- * The runs because of which a request is not run any more, or none.
+ * Returns the runs because of which a request is quarantined, or none.
  *
- * - Runs count that ended with their upstream since the request last came to its end.
- * - Each must have begun after the one before had ended: where a zone loses power, all
- *   upstreams that run copies of one request end, and it is not the cause.
- * - An end is not laid to a request while another one was there that was at more ends.
+ * - Counts the runs whose upstream exited since the request last finished.
+ * - Each run must have begun after the previous one ended: when a zone loses power, all
+ *   upstreams that run copies of one request exit, and the request is not the cause.
+ * - An exit is not attributed to a request if another request with more exits ran there.
  *
- * Runs of one caller are judged by themselves, since what makes upstreams end may lie in what
- * only that caller sends. Where copies of several callers end them, the content is judged.
+ * Runs of one caller are judged separately, since the cause may be something that only
+ * that caller sends. If copies from several callers make upstreams exit, the content is judged.
  */
 export function judgeRequest (history: RunHistory, { content, caller }: RequestIdentity): readonly PastRun[] {
   const ofCaller = attributedExits(history, content, sinceLastFinished(history.runsOf(content).filter((run) => run.caller === caller)))
@@ -36,14 +36,14 @@
   return attributed.length >= (isAmbiguous(history, attributed, ownExitCount) ? MAX_UPSTREAM_EXITS_IF_AMBIGUOUS : MAX_UPSTREAM_EXITS) ? attributed : []
 }
 
-/** Whether another request of the same rank was at all of these ends. */
+/** Whether another request with as many exits ran at all of these exits. */
 function isAmbiguous (history: RunHistory, runs: readonly PastRun[], ownExitCount: number): boolean {
   const [first = [], ...rest] = runs.map((run) => history.concurrentContents(run))
   const everywhere = first.filter((other) => rest.every((concurrent) => concurrent.includes(other)))
   return everywhere.some((other) => exitCount(history, other) === ownExitCount)
 }
 
-/** Ends, one after the other, that a request was at. */
+/** Number of successive upstream exits at which a request ran. */
 function exitCount (history: RunHistory, content: string): number {
   return sequentialRuns(sinceLastFinished(history.runsOf(content))).length
 }
@@ -53,7 +53,7 @@
   return runs.slice(finishedAt + 1)
 }
 
-/** The most runs of which each began after the one before had ended. */
+/** The longest chain of runs in which each began after the previous one ended. */
 function sequentialRuns (runs: readonly PastRun[]): PastRun[] {
   return runs.reduce<PastRun[]>((chain, run) => run.beganAtMs >= (chain.at(-1)?.endedAtMs ?? Number.NEGATIVE_INFINITY) ? [...chain, run] : chain, [])
 }
--- a/request/quarantine/src/quarantine.ts
+++ b/request/quarantine/src/quarantine.ts
@@ -7,9 +7,9 @@
 import { type PastRun, type RunHistory } from './runHistory.js'
 
 /**
- * For how long a request is not run after the last upstream that ended under it. Then it may run
- * once more, and is quarantined again as soon as it ends another one: an engine each ten minutes,
- * in place of one each 0.9 s, until whoever sends it or whoever runs the engines has mended it.
+ * Duration of a quarantine, counted from the last upstream exit. The request may then run once more
+ * and is quarantined again as soon as another upstream exits. Until the request or the engines are
+ * fixed, this costs one engine per ten minutes instead of one per 0.9 s.
  */
 export const QUARANTINE_MS = 10 * 60_000
 
@@ -17,20 +17,20 @@
   clock: Clock
   log: Log
   history: RunHistory
-  /** This box's present incarnation: events are named after it. */
+  /** Present incarnation of this box, used in event ids. */
   incarnation: () => string
-  /** Tells other boxes of an event that this box has seen. */
+  /** Sends an event that this box recorded to other boxes. */
   onEvent: (event: RunEvent) => void
 }
 
-/** Called when a request is not to be run any more that was run before. */
+/** Called when a request has been quarantined. */
 export type QuarantineListener = () => void
 
-/** Keeps requests from upstreams that have ended those that ran them, at whatever box. */
+/** Blocks requests that have repeatedly made upstreams exit, at any box. */
 export class Quarantine {
   readonly #opts: QuarantineOptions
   readonly #listeners = new Set<QuarantineListener>()
-  /** Requests that the log says are quarantined. */
+  /** Requests whose quarantine was logged and whose release was not logged yet. */
   readonly #logged = new Map<string, RequestIdentity>()
   #sequence = 0
 
@@ -38,7 +38,7 @@
     this.#opts = opts
   }
 
-  /** How many requests are not run at present. Tells of those that may run again. */
+  /** Counts the quarantined requests. Logs those whose quarantine has ended. */
   countQuarantined (): number {
     [...this.#logged.values()].forEach((request) => this.#logChange(request, this.#quarantiningRuns(request)))
     return this.#logged.size
@@ -48,7 +48,7 @@
     this.#listeners.add(listener)
   }
 
-  /** Why a request must not be sent to an upstream now; nothing if it may. The identity is only asked for where anything is known. */
+  /** Why a request must not be sent to an upstream now, or undefined if it may be. Computes the identity only if the history is not empty. */
   refusalOf (identity: () => RequestIdentity): ReelspanError | undefined {
     if (this.#opts.history.size === 0) return undefined
     const request = identity()
@@ -57,12 +57,12 @@
     return runs.length > 0 ? this.#refusal(runs) : undefined
   }
 
-  /** The upstream's process has ended while it ran the request. */
+  /** Records that the upstream's process exited while it ran the request. */
   noteUpstreamEnded (identity: RequestIdentity, upstream: string, { ranMs, ageMs }: Pick<RunEvent, 'ranMs' | 'ageMs'>): void {
     this.#recordEvent({ ...identity, end: RunEnd.UpstreamEnded, upstream, ranMs, ageMs })
   }
 
-  /** The request has run to its end, so it does not end every upstream that runs it. That is told where it was at an upstream's end since. */
+  /** Records that the request finished, so it does not make every upstream exit. Only needed if its last recorded run ended with an upstream exit. */
   recordFinished (identity: () => RequestIdentity): void {
     const { history } = this.#opts
     if (history.size === 0) return
@@ -71,7 +71,7 @@
     if (last?.end === RunEnd.UpstreamEnded) this.#recordEvent({ ...request, end: RunEnd.Finished, ranMs: 0, ageMs: 0 })
   }
 
-  /** Events of this or another box were added to the history. */
+  /** Called when events of this or another box were added to the history. */
   noteAdded (events: readonly RunEvent[]): void {
     const before = this.#logged.size
     events.forEach((event) => this.#logChange(event, this.#quarantiningRuns(event)))
@@ -98,7 +98,7 @@
 
   #refusal (runs: readonly PastRun[]): ReelspanError {
     const upstreams = exitedUpstreams(runs).join(', ')
-    return new ReelspanError(ErrorCode.RequestQuarantined, `${runs.length} upstreams ended under this request, one after the other: ${upstreams}`, {
+    return new ReelspanError(ErrorCode.RequestQuarantined, `${runs.length} upstreams exited one after another while running this request: ${upstreams}`, {
       retryAfterMs: this.#remainingMs(runs.at(-1) as PastRun),
     })
   }
--- a/request/quarantine/src/runHistory.ts
+++ b/request/quarantine/src/runHistory.ts
@@ -3,35 +3,35 @@
 import { RunEnd, type RunEvent } from '@reelspan/core.messages'
 import { NewsBook } from '@reelspan/membership.prober'
 
-/** A run of a request that ended, on this box's clock. */
+/** A past run of a request. Times are on this box's clock. */
 export interface PastRun {
   id: string
   end: RunEnd
   content: string
   caller: string
-  /** The upstream that ended. */
+  /** The upstream that exited. */
   upstream?: string
   beganAtMs: number
   endedAtMs: number
 }
 
-/** How long a run is remembered: several times the time for which a request is not run because of it, so that one that comes back is known again at once. */
+/** How long runs are kept: several quarantine durations, so that a request that returns after its quarantine is recognized at once. */
 export const RUN_RETENTION_MS = 30 * 60_000
-/** 0.9 MB (460 bytes each, `npm run slopes -- --parts runs`). An engine that ends takes up to 64 requests with it; a zone of some 20 engines is remembered whole. */
+/** Uses 0.9 MB (460 bytes each, `npm run slopes -- --parts runs`). An engine exit ends up to 64 runs, so all runs of a zone of some 20 engines fit. */
 const MAX_RUNS = 2000
-/** Of one request. More say nothing new. */
+/** Bound per request. More runs add no information. */
 const MAX_RUNS_PER_CONTENT = 16
-/** All that ran on an upstream ends with it, and is noticed within this time at all boxes. Upstreams take longer to be back. */
+/** Boxes record the runs of an upstream that exited within this time of each other. Upstreams take longer than this to restart. */
 const SAME_EXIT_WINDOW_MS = 2000
 
 /**
- * The runs that ended with their upstreams, at any box, and the runs of the same
- * requests that came to their end. Boxes that have heard of the same events hold the
- * same, in whatever order they heard. Nothing of a request but hashes is kept.
+ * Stores the runs whose upstreams exited, at any box, and the finished runs of the same
+ * requests. Boxes that received the same events in any order have the same state. Only
+ * hashes of requests are stored.
  */
 export class RunHistory extends NewsBook<RunEvent> {
   readonly #clock: Clock
-  /** By content, the one that was heard of last at the end. */
+  /** Runs by content, in the order in which the contents were last updated. */
   readonly #byContent = new Map<string, PastRun[]>()
   readonly #byUpstream = new Map<string, PastRun[]>()
   readonly #ids = new Set<string>()
@@ -54,7 +54,7 @@
     return this.#digest
   }
 
-  /** Takes an event in. Answers whether it was new. */
+  /** Adds an event. Returns whether it was new. */
   add ({ id, end, content, caller, upstream, ageMs, ranMs }: RunEvent): boolean {
     if (this.#ids.has(id) || ageMs >= RUN_RETENTION_MS) return false
     const endedAtMs = this.#clock.nowMs() - ageMs
@@ -70,12 +70,12 @@
     return true
   }
 
-  /** Runs of a request, the one that ended first at the beginning. */
+  /** Runs of a request, ordered by their end. */
   runsOf (content: string): readonly PastRun[] {
     return this.#byContent.get(content) ?? []
   }
 
-  /** Contents of the other requests that ended with the same upstream. */
+  /** Contents of the other requests that ran at the same upstream exit. */
   concurrentContents ({ content, upstream, endedAtMs }: PastRun): string[] {
     const exitedTogether = (this.#byUpstream.get(upstream ?? '') ?? []).filter((run) => Math.abs(run.endedAtMs - endedAtMs) <= SAME_EXIT_WINDOW_MS)
     return [...new Set(exitedTogether.map((run) => run.content))].filter((other) => other !== content)
@@ -91,7 +91,7 @@
     [...this.#byContent.values()].flat().filter(({ endedAtMs }) => endedAtMs <= lastMs).forEach((run) => this.#remove(run))
   }
 
-  /** Requests that were at one end alone go before those that were at several, and old news before new. */
+  /** Evicts a run of the content with the fewest runs; among equals, of the one updated least recently. */
   #evictOne (): void {
     const fewest = Math.min(...[...this.#byContent.values()].map(({ length }) => length))
     const [runs] = [...this.#byContent.values()].filter(({ length }) => length === fewest)
--- a/request/quarantine/src/runMessages.ts
+++ b/request/quarantine/src/runMessages.ts
@@ -1,7 +1,7 @@
 import { MessageType, type PeerMessage, type RunEvent } from '@reelspan/core.messages'
 import { NewsMessages } from '@reelspan/membership.prober'
 
-/** How boxes tell each other of runs that ended. */
+/** Messages by which boxes exchange run events. */
 export class RunMessages extends NewsMessages<RunEvent> {
   tell (events: readonly RunEvent[]): PeerMessage {
     return { type: MessageType.RunsTell, events: [...events] }
--- a/request/records/src/recordStore.ts
+++ b/request/records/src/recordStore.ts
@@ -5,13 +5,13 @@
 
 export interface RecordStoreOptions {
   clock: Clock
-  /** Records and the room set aside for running ones stay below this. */
+  /** Bound on the memory of all records, including what is reserved for running requests. */
   maxBytes: number
-  /** How long a finished record is kept: longer than a key prefix lives plus the longest request. */
+  /** How long a finished record is kept: longer than the lifetime of a key prefix plus the longest request. */
   recordLifeMs: number
 }
 
-/** A finished record on its way to a successor. */
+/** A finished record in the form in which it is sent to a successor. */
 export interface ExportedRecord {
   key: string
   fingerprint: string
@@ -19,23 +19,23 @@
   events: AnswerEvent[]
 }
 
-/** An incarnation that stopped as planned, and its own clock's reading. */
+/** An incarnation that stopped as planned, and the reading of its clock. */
 export interface PredecessorIncarnation {
   incarnation: string
   clockMs: number
 }
 
 const RECORD_OVERHEAD_BYTES = 400
-/** When to come back to a box whose records fill its memory. */
+/** Retry delay for callers of a box whose record memory is full. */
 const FULL_RETRY_AFTER_MS = 1000
 
 interface StoredRecord {
   record: RequestRecord
-  /** Room set aside while the answer grows. */
+  /** Bytes counted for this record: the reservation while the request runs, then the actual size. */
   accountedBytes: number
 }
 
-/** The records of one box. Never drops one early: near its bound, new requests are refused instead. */
+/** Stores the request records of one box. When memory is full it refuses new requests rather than evicting records. */
 export class RecordStore {
   readonly #opts: RecordStoreOptions
   readonly #records = new Map<string, StoredRecord>()
@@ -66,12 +66,12 @@
     return this.all().filter(({ final }) => !final)
   }
 
-  /** Opens a record, with room for an answer of `answerBytes`. Throws `ERR_REELSPAN_RECORDS_FULL`. */
+  /** Opens a record and reserves memory for an answer of `answerBytes`. Throws `ERR_REELSPAN_RECORDS_FULL`. */
   open (key: string, fingerprint: string, answerBytes: number): RequestRecord {
     this.removeExpired()
     const reservedBytes = RECORD_OVERHEAD_BYTES + 2 * key.length + answerBytes
     if (this.#bytes + reservedBytes > this.#opts.maxBytes) {
-      throw new ReelspanError(ErrorCode.RecordsFull, 'this box has no room for another record', {
+      throw new ReelspanError(ErrorCode.RecordsFull, 'the record memory of this box is full', {
         hint: 'Raise requests.recordBytes, or add boxes.',
         retryAfterMs: FULL_RETRY_AFTER_MS,
       })
@@ -82,7 +82,7 @@
     return record
   }
 
-  /** Gives back the room that a finished record does not need. */
+  /** Releases the part of the reservation that a finished record does not use. */
   close (key: string): void {
     const stored = this.#records.get(key)
     if (!stored) return
@@ -91,7 +91,7 @@
     stored.accountedBytes = usedBytes
   }
 
-  /** Forgets a request that is known not to have run, so that its key may be used again. */
+  /** Removes the record of a request that is known not to have run, so that its key can be reused. */
   remove (key: string): void {
     const stored = this.#records.get(key)
     if (!stored) return
@@ -99,7 +99,7 @@
     this.#records.delete(key)
   }
 
-  /** Finished records, for a successor. */
+  /** Exports the finished records for a successor. */
   export (): ExportedRecord[] {
     const nowMs = this.#opts.clock.nowMs()
     return this.all()
@@ -112,7 +112,7 @@
       }))
   }
 
-  /** Takes over a part of the records of incarnations that stopped as planned. Throws when there is no room. */
+  /** Imports some of the records of incarnations that stopped as planned. Throws when the memory is full. */
   import (records: readonly ExportedRecord[]): void {
     const nowMs = this.#opts.clock.nowMs()
     records
@@ -124,31 +124,31 @@
       })
   }
 
-  /** All records of these incarnations are here: a young key of theirs without a record never ran. */
+  /** Marks the records of these incarnations as fully imported: an unexpired key of theirs without a record has never run. */
   markTaken (incarnations: readonly PredecessorIncarnation[]): void {
     const nowMs = this.#opts.clock.nowMs()
     incarnations.forEach(({ incarnation, clockMs }) => this.#predecessors.set(incarnation, { clockMs, addedAtMs: nowMs }))
   }
 
-  /** Incarnations whose records were all taken over, with their clocks as of now. */
+  /** Incarnations whose records were all imported, with their estimated present clock readings. */
   taken (): PredecessorIncarnation[] {
     return [...this.#predecessors.keys()].map((incarnation) => ({ incarnation, clockMs: this.clockOf(incarnation) as number }))
   }
 
   /**
-   * What the clock of a taken incarnation would show now, so that the age of
-   * its keys can be told. No two clocks are compared: it is that clock's last
-   * reading plus the time that has passed here.
+   * Estimates the present clock reading of a predecessor, from which the age of its keys follows.
+   * No two clocks are compared: the estimate is the predecessor's last reading plus the time that has
+   * passed here since.
    */
   clockOf (incarnation: string): number | undefined {
     const predecessor = this.#predecessors.get(incarnation)
     return predecessor && predecessor.clockMs + this.#opts.clock.nowMs() - predecessor.addedAtMs
   }
 
-  /** Forgets finished records that have outlived every retry. */
+  /** Removes finished records that are older than any possible retry. */
   removeExpired (): void {
     const oldestMs = this.#opts.clock.nowMs() - this.#opts.recordLifeMs
-    // Insertion order is close to finishing order, so the scan ends early.
+    // Records finish roughly in insertion order, so the scan can stop at the first unexpired one.
     for (const [key, { record }] of this.#records) {
       if (record.finishedAtMs === undefined) continue
       if (record.finishedAtMs > oldestMs) break
--- a/request/records/src/requestRecord.ts
+++ b/request/records/src/requestRecord.ts
@@ -3,10 +3,10 @@
 
 const EVENT_OVERHEAD_BYTES = 64
 
-/** One request and its one answer, as far as it has come. Any number of readers get the same events. */
+/** One request and the events of its answer so far. All readers receive the same events. */
 export class RequestRecord {
   readonly key: string
-  /** Digest of the request's content, to find a key that is used for two requests. */
+  /** Digest of the request's content, used to detect a key that was reused for a different request. */
   readonly fingerprint: string
   readonly createdAtMs: number
   readonly #events: AnswerEvent[] = []
@@ -42,7 +42,7 @@
     return this.#finishedAtMs
   }
 
-  /** Adds an event. Nothing is added after the final one: the first end of a request counts. */
+  /** Appends an event. Ignores events after the first final one. */
   append (event: AnswerEvent, nowMs: number): boolean {
     if (this.#final) return false
     this.#events.push(event)
@@ -55,7 +55,7 @@
     return true
   }
 
-  /** Events from a position on, to the final one. */
+  /** Yields the events from a position up to the final one. */
   async * read (fromEvent: number, signal: AbortSignal): AsyncGenerator<AnswerEvent> {
     this.#readers++
     this.#changed.notify()
@@ -71,12 +71,12 @@
     }
   }
 
-  /** Resolves once the record is final, or nobody reads it, or the signal is aborted. */
+  /** Resolves once the record is final or has no reader, or the signal is aborted. */
   async waitUntilUnread (signal: AbortSignal): Promise<void> {
     while (this.#readers > 0 && !this.#final && !signal.aborted) await this.#changed.wait(signal)
   }
 
-  /** Resolves once someone reads it or it is final, or the signal is aborted. */
+  /** Resolves once the record is final or has a reader, or the signal is aborted. */
   async waitUntilRead (signal: AbortSignal): Promise<void> {
     while (this.#readers === 0 && !this.#final && !signal.aborted) await this.#changed.wait(signal)
   }
--- a/request/records/test/recordStore.ts
+++ b/request/records/test/recordStore.ts
@@ -10,7 +10,7 @@
   return new RecordStore({ clock, maxBytes, recordLifeMs: 1000 })
 }
 
-test('near the bound, new requests are refused and no record is dropped', (t) => {
+test('when memory is full, new requests are refused and no record is evicted', (t) => {
   const clock = new VirtualClock()
   const store = createStore(clock)
   const keys = Array.from({ length: 100 }, (_, i) => `k${i}`)
@@ -28,7 +28,7 @@
   keys.filter((key) => !refused.includes(key)).forEach((key) => t.truthy(store.get(key)))
 })
 
-test('a finished record is kept for its whole life and then forgotten', async (t) => {
+test('a finished record is removed once its lifetime has passed, not before', async (t) => {
   const clock = new VirtualClock()
   const store = createStore(clock)
   store.open('a', 'f', 0).append(FINAL, clock.nowMs())
@@ -42,7 +42,7 @@
   t.is(store.bytes, 0)
 })
 
-test('a running record is never forgotten', async (t) => {
+test('the record of a running request never expires', async (t) => {
   const clock = new VirtualClock()
   const store = createStore(clock)
   store.open('a', 'f', 0)
@@ -51,7 +51,7 @@
   t.truthy(store.get('a'))
 })
 
-test('only the first end of a request counts', (t) => {
+test('events after the first final event are ignored', (t) => {
   const clock = new VirtualClock()
   const record = createStore(clock).open('a', 'f', 0)
   t.true(record.append(FINAL, 0))
@@ -59,7 +59,7 @@
   t.is(record.final?.verdict, Verdict.Finished)
 })
 
-test('every reader gets the answer from where it asks, also while it grows', async (t) => {
+test('every reader gets the answer from its own position, also while the answer grows', async (t) => {
   const clock = new VirtualClock()
   const record = createStore(clock).open('a', 'f', 0)
   const read = async (from: number) => {
@@ -75,7 +75,7 @@
   t.deepEqual(await read(1), ['b', 'end'])
 })
 
-test('the age of a key of an incarnation whose records were taken over is told by its own clock', async (t) => {
+test('the clock of a predecessor is estimated from its last reading and the time that has passed', async (t) => {
   const clock = new VirtualClock()
   const store = createStore(clock)
   store.markTaken([{ incarnation: 'x', clockMs: 77 }])
--- a/request/relay/src/blockedUpstreams.ts
+++ b/request/relay/src/blockedUpstreams.ts
@@ -3,10 +3,10 @@
 import { type SendWait, WaitReason } from '@reelspan/upstream.limits'
 import { type RelayContext } from './relayContext.js'
 
-/** Names in one line of the log or one refusal; a large pool has thousands. */
+/** Maximum number of names in a log line or refusal; a large pool has thousands. */
 const MAX_NAMES = 40
 
-/** Upstreams that a request may not be sent to now, and why. */
+/** Upstreams to which a request may not be sent now, with the reasons. */
 export class BlockedUpstreams {
   readonly #blocks = new Map<string, SendWait>()
 
@@ -14,12 +14,12 @@
     return this.#blocks.size
   }
 
-  /** All of them ask this box to wait. */
+  /** Whether all of them asked this box to back off. */
   get allBackingOff (): boolean {
     return this.size > 0 && this.names(WaitReason.RateLimit).length === 0
   }
 
-  /** Until the first of them may be sent a request. */
+  /** Time until the first of them may receive a request. */
   get shortestWaitMs (): number {
     return Math.min(...[...this.#blocks.values()].map(({ durationMs }) => durationMs))
   }
@@ -40,19 +40,19 @@
     this.#blocks.clear()
   }
 
-  /** Their names; those with one reason where it is given. */
+  /** Names of the upstreams, optionally only of those with one reason. */
   names (reason?: WaitReason): string[] {
     return [...this.#blocks].filter(([, wait]) => reason === undefined || wait.reason === reason).map(([upstream]) => upstream)
   }
 
-  /** Their names, for a refusal. */
+  /** Lists the names for a refusal. */
   describe (): string {
     const names = this.names()
     const more = names.length - MAX_NAMES
     return `${names.slice(0, MAX_NAMES).join(', ')}${more > 0 ? ` and ${more} more` : ''}`
   }
 
-  /** Logs that a request did not go to them, a line for each reason. */
+  /** Logs that a request was not sent to them, with one line per reason. */
   log ({ logDecision }: Pick<RelayContext, 'logDecision'>, outcome: { instead?: string, retryAfterMs?: number }): void {
     const atLimit = this.names(WaitReason.RateLimit)
     const backingOff = this.names(WaitReason.Backoff)
--- a/request/relay/src/callLatencies.ts
+++ b/request/relay/src/callLatencies.ts
@@ -1,8 +1,8 @@
-/** Weight of one call: some ten are remembered, which a box makes at an upstream in a few seconds. */
+/** EWMA weight of one call: averages over some ten calls, which a box makes to an upstream in a few seconds. */
 const EWMA_WEIGHT = 0.1
-/** What was seen of an upstream is forgotten in about this time: a busy one empties within a second or two. */
+/** Time constant with which an estimate decays to the mean: a busy upstream empties its queue within a second or two. */
 const DECAY_MS = 2000
-/** Before any call has ended. The same for all, so its size does not matter. */
+/** Expected latency before any call has ended. It is the same for all upstreams, so its value has no effect. */
 const INITIAL_MEAN_MS = 100
 
 interface LatencyEstimate {
@@ -11,7 +11,7 @@
   calls: number
 }
 
-/** How long calls to each of some upstreams took of late. What is not renewed comes back to the mean of all. */
+/** Exponentially weighted mean latency of recent calls by upstream. Estimates without new samples decay to the mean of all upstreams. */
 export class CallLatencies {
   readonly #estimates = new Map<string, LatencyEstimate>()
   #meanMs = INITIAL_MEAN_MS
@@ -30,7 +30,7 @@
     return this.#meanMs + (estimate.meanMs - this.#meanMs) * Math.exp(-(nowMs - estimate.updatedAtMs) / DECAY_MS)
   }
 
-  /** Forgets upstreams that are gone. */
+  /** Drops the estimates of all other upstreams. */
   retain (names: ReadonlySet<string>): void {
     [...this.#estimates.keys()].filter((name) => !names.has(name)).forEach((name) => this.#estimates.delete(name))
   }
--- a/request/relay/src/completionPlacer.ts
+++ b/request/relay/src/completionPlacer.ts
@@ -10,27 +10,27 @@
 import { type RelayContext } from './relayContext.js'
 import { BlockedUpstreams } from './blockedUpstreams.js'
 
-/** Callers give a stream up that has not begun after four latency targets; the last of them is for the way, and for what an estimate misses. */
+/** Latency targets that a request may wait for its first token. Callers abandon a stream after four; the fourth covers round trips and estimation errors. */
 const MAX_WAIT_TARGETS = 3
-/** Waits between tries to continue an answer that has begun. */
+/** Delay between attempts to continue an answer that has begun. */
 const CONTINUE_BACKOFF_MS = 100
-/** A stream that stands still for longer than this is given up by its client. */
+/** Clients abandon a stream that stalls for longer than this. */
 const CONTINUE_TIMEOUT_MS = 2000
 
-/** What a placement depends on, as the request goes on. */
+/** State of the request that later placements depend on. */
 export interface PlacementState {
   /** Engines that failed the request. */
   failed: ReadonlySet<string>
   progress: EventProgress
 }
 
-/** Finds places for one request at a model's engines, with permits to send it there. */
+/** Obtains placements for one request at a model's engines, with the permits to send it there. */
 export class CompletionPlacer {
   readonly #context: RelayContext
   readonly #model: string
   readonly #prompt: PromptSizes
   readonly #state: PlacementState
-  /** Engines that had no permit when the request was placed there. */
+  /** Engines that refused a permit after the request was placed there. */
   readonly #blocked = new BlockedUpstreams()
   #placements = 0
 
@@ -41,12 +41,12 @@
     this.#state = state
   }
 
-  /** Tokens of the answer that the caller has. */
+  /** Answer tokens that were delivered to the caller. */
   deliveredTokens (): number {
     return this.#state.progress.events * (this.#context.opts.configuration().model(this.#model)?.tokensPerEvent ?? 1)
   }
 
-  /** An engine without a permit is no failure: the request is placed without it, which is no attempt. */
+  /** Places the request again without an engine that refuses a permit. This counts neither as a failure nor as an attempt. */
   async place (attempt: number): Promise<PermittedPlacement> {
     this.#blocked.clear()
     for (;;) {
@@ -61,7 +61,7 @@
     const askedAtMs = run.elapsedMs
     let outcome = await this.#callPlacer(attempt)
     while (!('plan' in outcome)) {
-      // An answer that has begun is continued late rather than cut.
+      // An answer that has begun is continued late rather than aborted.
       if (!caller.begun) throw this.#refusal(outcome)
       await opts.clock.sleep(CONTINUE_BACKOFF_MS, { signal: run.signal })
       this.#blocked.clear()
@@ -92,7 +92,7 @@
     return noPlacementError(this.#context, this.#model, refusal, this.#blocked)
   }
 
-  /** Backoffs are why there is no place where all engines of a pool ask this box to wait. */
+  /** Adds the engines of a pool if all of them asked this box to back off, since that is then why there is no placement. */
   #addBackoffs (pool: string): void {
     const { fleet, backoffs } = this.#context.opts
     const engines = fleet().takingWork(pool).map(({ name }) => ({ name, durationMs: backoffs.remainingMs(name) }))
@@ -100,7 +100,7 @@
     engines.forEach(({ name, durationMs }) => this.#blocked.add(name, { reason: WaitReason.Backoff, durationMs }))
   }
 
-  /** A place that is found for a run that has ended is given back. */
+  /** Calls the placer. Releases the placement if the run has ended in the meantime. */
   async #callPlacer (attempt: number): Promise<Placement | PlacementRefusal> {
     const { opts, run } = this.#context
     const outcome = await opts.placer.place(this.#placeRequest(attempt), { signal: run.signal })
@@ -113,7 +113,7 @@
     const { opts, run, route, request, caller, health, urgency } = this.#context
     const { promptTokens, maxTokens, prefixes } = this.#prompt
     const deliveredTokens = this.deliveredTokens()
-    // The prompt is not read once more when the answer could not be whole in time. A first try is never refused for an estimate.
+    // The prompt is not computed again if the answer could not be complete in time. A first attempt is never refused because of an estimate.
     const usefulMs = attempt > 1 ? run.remainingMs - this.#minRemainingDecodeMs(deliveredTokens) : run.remainingMs
     const { peerAddress, incarnation, availabilityZone } = opts.standing()
     const label: HoldLabel = { ownerAddress: peerAddress, ownerIncarnation: incarnation, requestId: `${request.id}.${++this.#placements}`, maxHoldMs: run.remainingMs }
@@ -121,7 +121,7 @@
       model: this.#model,
       client: '',
       label,
-      // A caller's retry has an id of its own, but its prompt ends in the same part.
+      // A caller's retry has a different id, but the same last prompt prefix.
       returnId: prefixes.at(-1)?.digest ?? hash32(request.id).toString(36),
       priority: -urgency,
       promptTokens: promptTokens + deliveredTokens,
@@ -137,7 +137,7 @@
     }
   }
 
-  /** The least time for the tokens that are missing, by the caller's own estimate of the answer. */
+  /** Minimum decode time of the missing tokens, from the caller's estimate of the answer length. */
   #minRemainingDecodeMs (doneTokens: number): number {
     const stepMs = this.#context.opts.configuration().model(this.#model)?.decodeStepBaseMs ?? 0
     const { maxTokens, expectedTokens = 0 } = this.#prompt
--- a/request/relay/src/completionRelay.ts
+++ b/request/relay/src/completionRelay.ts
@@ -17,19 +17,19 @@
 import { prefillAtUpstream, sendToUpstream } from './sendToUpstream.js'
 import { IdleTimer } from './idleTimer.js'
 
-/** Placements tried for one request, however many of them reached an engine. */
+/** Bound on placements of one request, including those that did not reach an engine. */
 const MAX_ATTEMPTS = 4
-/** Freeing a handle is tried once; the engine frees it by itself soon after. */
+/** Timeout of the single attempt to free a handle. The engine frees it by itself soon after. */
 const FREE_TIMEOUT_MS = 500
 const OK = 200
-/** A prefill that takes this much longer than its estimate, and the time below, is given up: its answer is lost, or its engine hangs. */
+/** A prefill is aborted after this multiple of its estimate plus the margin below: its answer is lost, or its engine hangs. */
 const PREFILL_TIMEOUT_FACTOR = 2
 const PREFILL_TIMEOUT_MARGIN_MS = 300
-/** A stream that another engine could go on with is given up after this many targets for the time between events. */
+/** A stream that another engine could continue is aborted after this many time-between-tokens targets without data. */
 const DECODE_IDLE_TIMEOUT_TARGETS = 2
 const FIRST_SERVER_ERROR = 500
 
-/** Relays a request to a model's engines: place, prefill, decode. */
+/** Relays a request to a model's engines: placement, prefill, decode. */
 export class CompletionRelay {
   readonly #context: RelayContext
   readonly #model: string
@@ -37,11 +37,11 @@
   readonly #failedEngines = new Set<string>()
   readonly #progress = new EventProgress()
   readonly #placer: CompletionPlacer
-  /** How the engines of the present placement answered. */
+  /** Outcomes at the engines of the present placement. */
   #outcomes: EngineOutcome[] = []
-  /** Decode engines that the request was sent to. */
+  /** Decode engines to which the request was sent. */
   readonly #decodeEngines = new Set<string>()
-  /** The last answer broke off, or did not come, while its engine was listened to. */
+  /** Whether the last exchange ended before its answer was complete, other than by a timeout or cancellation here. */
   #interrupted = false
   #prefillMs = 0
 
@@ -88,8 +88,8 @@
     try {
       await opts.clock.sleep(plan.startInMs, { signal: run.signal })
       await run.checkBeforeSend()
-      // Waking late, the place that was kept for the end of this prefill may be another's by now.
-      if (opts.clock.nowMs() - placedAtMs > plan.startWithinMs) throw new UpstreamError('the placement was not used in time', { mayHaveRun: false })
+      // After a late wake-up, the slot that was reserved for the end of this prefill may have been given to another request.
+      if (opts.clock.nowMs() - placedAtMs > plan.startWithinMs) throw new UpstreamError('the reserved start time of the placement has passed', { mayHaveRun: false })
       this.#checkMaySend(plan.prefillEngine)
       this.#checkMaySend(plan.decodeEngine)
       if (!isOwnPrefill(plan)) {
@@ -110,13 +110,13 @@
     }
   }
 
-  /** The scheduler may not have heard yet that an engine leaves, or it has begun to, or asked this box to wait, since it was chosen. */
+  /** The engine may have begun to drain or asked this box to back off after the scheduler's last update. */
   #checkMaySend (engine: string): void {
     const { opts } = this.#context
     const backoffMs = opts.backoffs.remainingMs(engine)
     if (opts.fleet().takesWork(engine) && backoffMs === 0) return
     this.#failedEngines.add(engine)
-    const reason = backoffMs > 0 ? `asked this box to wait for ${Math.ceil(backoffMs)} ms more` : `takes no more work, by revision ${storeRevisionOf(opts.fleetRevision()).revision} of the list`
+    const reason = backoffMs > 0 ? `asked this box to back off for another ${Math.ceil(backoffMs)} ms` : `does not accept new work according to revision ${storeRevisionOf(opts.fleetRevision()).revision} of the upstream list`
     throw new UpstreamError(`${engine} ${reason}`, { mayHaveRun: false, refused: true })
   }
 
@@ -130,7 +130,7 @@
     return { address: plan.prefillAddress, handle }
   }
 
-  /** Gives work up that is not heard of for too long. */
+  /** Runs `work` with a timer that aborts it when no data arrives for `timeoutMs`. */
   async #withIdleTimer<T> (timeoutMs: number, work: (watch: IdleTimer) => Promise<T>, mayExpire?: () => boolean): Promise<T> {
     const { opts, run } = this.#context
     const idleTimer = new IdleTimer(opts.clock, timeoutMs, run.signal, mayExpire)
@@ -142,9 +142,9 @@
   }
 
   /**
-   * Sends the request to its decode engine and passes the answer on. When that breaks off, or the
-   * engine cannot have the KV cache, it is asked once more, to compute what it has not kept itself:
-   * its place is still reserved, and what it read of the prompt is most often still in its memory.
+   * Sends the request to its decode engine and passes the answer on. If the answer is interrupted or
+   * the engine cannot fetch the KV cache, asks the same engine once more to compute the missing part of
+   * the prompt itself: its slot is still reserved, and most of the prompt is usually still in its cache.
    */
   async #decode ({ placement, permits }: PermittedPlacement, source: PrefillSource | undefined, times: AnswerTimes): Promise<void> {
     const { budget, logDecision, run } = this.#context
@@ -167,7 +167,7 @@
     }
   }
 
-  /** Not after silence, which may be the engine's, and not after an answer that is a failure. */
+  /** Excludes timeouts, since the engine itself may be unresponsive, and failure responses. */
   #mayRetryAtEngine (plan: PlacementPlan, thrown: unknown, source: PrefillSource | undefined): boolean {
     const { opts, run, route } = this.#context
     const computesPrompts = opts.configuration().model(this.#model)?.decodePrefillTokensPerSecond !== undefined
@@ -183,7 +183,7 @@
     const wasSentBefore = this.#decodeEngines.has(plan.decodeEngine)
     this.#decodeEngines.add(plan.decodeEngine)
     let sent = false
-    // An engine that reads the prompt first is silent for that time as well.
+    // An engine that computes the prompt first sends no data during that time.
     const promptMs = source === undefined ? PREFILL_TIMEOUT_FACTOR * plan.expectedTtftMs : 0
     const timeoutMs = this.#hasAttemptsLeft() ? DECODE_IDLE_TIMEOUT_TARGETS * route.spec.tbtTargetMs + promptMs : Number.POSITIVE_INFINITY
     const target = { instance: plan.decodeEngine, address: plan.decodeAddress }
@@ -202,13 +202,13 @@
       idleTimer.reset()
       await this.#handleAnswer(plan, answer, placement, times, idleTimer)
     }), () => this.#mayRetryElsewhere())).catch((thrown: unknown) => {
-      // An engine that took no connection has had nothing of the request, which may go to another one in its place.
+      // An engine that accepted no connection has received nothing, so it does not count as one of the attempts.
       if (!sent && !wasSentBefore) this.#decodeEngines.delete(plan.decodeEngine)
       throw thrown
     })
   }
 
-  /** Notes when an exchange ends before its answer does, other than by being given up. */
+  /** Records whether an exchange ended before its answer was complete, other than by the idle timer or a cancellation. */
   async #trackInterruption (idleTimer: IdleTimer, work: () => Promise<void>): Promise<void> {
     try {
       await work()
@@ -218,18 +218,18 @@
     }
   }
 
-  /** Whether another engine could go on now if this one failed. */
+  /** Whether another engine could continue the request now if this one failed. */
   #mayRetryElsewhere (): boolean {
     return this.#hasAttemptsLeft() && this.#context.budget.left >= 1 && this.#canResume()
   }
 
-  /** Whether the request may be sent to one more decode engine as long as there is budget for it. */
+  /** Whether the request may be sent to one more decode engine, apart from the retry budget. */
   #hasAttemptsLeft (): boolean {
     const { resumable, maxAttempts } = this.#context.route.spec
     return resumable && this.#decodeEngines.size < maxAttempts
   }
 
-  /** What has no numbered event yet cannot be taken up behind it. */
+  /** An answer that has begun can be resumed only behind an event with an id, or if it has no whole event yet. */
   #canResume (): boolean {
     return !this.#context.caller.begun || this.#progress.lastId !== undefined || this.#progress.events === 0
   }
@@ -240,7 +240,7 @@
     const failed = answer.status >= FIRST_SERVER_ERROR
     if (caller.begun ? answer.status !== OK : failed && this.#mayRetryElsewhere()) {
       void drainAnswer(answer)
-      throw new UpstreamError(`${plan.decodeEngine} answered ${answer.status}`, { mayHaveRun: true, failed: true })
+      throw new UpstreamError(`${plan.decodeEngine} responded with ${answer.status}`, { mayHaveRun: true, failed: true })
     }
     placement.progressed(1)
     const onFirst = isOwnPrefill(plan) ? () => placement.prefilled() : undefined
@@ -248,7 +248,7 @@
     this.#recordOutcome(plan.decodeEngine, failed ? UpstreamOutcome.Failed : UpstreamOutcome.Answered)
   }
 
-  /** Remembers an engine that failed, so that the next attempt goes elsewhere. */
+  /** Runs `work` and excludes the engine from later attempts if it fails. */
   async #trackFailure<T> (target: RelayTarget, work: SendingWork<T>): Promise<T> {
     const engine = target.instance
     try {
@@ -256,7 +256,7 @@
     } catch (thrown) {
       if (thrown instanceof UpstreamError && !this.#context.run.signal.aborted) {
         this.#failedEngines.add(engine)
-        // An engine that refuses is not broken, but a bad choice, which its scheduler learns from.
+        // An engine that refuses is healthy but was a bad choice, which its scheduler takes into account.
         if (thrown.refused) this.#outcomes.push({ engine, outcome: UpstreamOutcome.Failed })
         else this.#recordOutcome(engine, thrown.unreachable ? UpstreamOutcome.Unreachable : UpstreamOutcome.Failed)
       }
@@ -277,7 +277,7 @@
     }
   }
 
-  /** Not waited for: what is not freed lapses soon. */
+  /** Frees a handle without waiting. A handle that is not freed expires soon. */
   #freeHandle (source: PrefillSource): void {
     const { opts, logDecision } = this.#context
     opts.metrics.count('reelspan_wasted_prefill_tokens_total', {}, this.#prompt.promptTokens)
--- a/request/relay/src/eventProgress.ts
+++ b/request/relay/src/eventProgress.ts
@@ -1,26 +1,26 @@
 const ID_FIELD = /^id:[ ]?(.*)$/
 
-/** What stands at the end of each event: a blank line. */
+/** Line terminators. A blank line ends each event. */
 const LINE_FEED = 0x0a
 const CARRIAGE_RETURN = 0x0d
 
-/** How far a stream of events has come. Splits bytes at the ends of events. */
+/** Tracks the progress of a server-sent event stream and splits its bytes at the ends of events. */
 export class EventProgress {
   #incomplete: Uint8Array = new Uint8Array()
   #events = 0
   #lastId?: string
 
-  /** Whole events so far. */
+  /** Number of complete events. */
   get events (): number {
     return this.#events
   }
 
-  /** Id of the last whole event that had one. */
+  /** Id of the last complete event with an id. */
   get lastId (): string | undefined {
     return this.#lastId
   }
 
-  /** Takes bytes in and answers those that complete events. What stands behind them is kept for the next time. */
+  /** Adds received bytes and returns those of complete events. Buffers the bytes of an incomplete event. */
   push (bytes: Uint8Array): Uint8Array {
     const all = this.#incomplete.byteLength === 0 ? bytes : Buffer.concat([this.#incomplete, bytes])
     let from = 0
@@ -32,7 +32,7 @@
     return all.subarray(0, from)
   }
 
-  /** Bytes behind the last whole event. They are given out once. */
+  /** Returns the buffered bytes behind the last complete event and clears the buffer. */
   flush (): Uint8Array {
     const rest = this.#incomplete
     this.#incomplete = new Uint8Array()
@@ -46,7 +46,7 @@
   }
 }
 
-/** Position behind the next blank line, or 0 when there is none. */
+/** Position behind the next blank line, or 0 if there is none. */
 function endOfEvent (bytes: Uint8Array, from: number): number {
   for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     const next = bytes[at + 1] === CARRIAGE_RETURN ? at + 2 : at + 1
--- a/request/relay/src/idleTimer.ts
+++ b/request/relay/src/idleTimer.ts
@@ -1,6 +1,6 @@
 import { type Clock, STOPPED } from '@reelspan/core.env'
 
-/** Aborts its signal when nothing was heard for a while, or when what it belongs to ends. */
+/** Aborts its signal when nothing was received for a while, or when its parent signal is aborted. */
 export class IdleTimer {
   readonly #clock: Clock
   readonly #expired = new AbortController()
@@ -13,8 +13,8 @@
   readonly #expire = () => this.#expired.abort(STOPPED)
 
   /**
-   * @param parentSignal aborted when the work that is watched is of no use any more
-   * @param mayExpire whether anything better than waiting could be done
+   * @param parentSignal aborted when the timed work is no longer needed
+   * @param mayExpire whether anything better than waiting could be done; if not, the timer restarts
    */
   constructor (clock: Clock, timeoutMs: number, parentSignal: AbortSignal, mayExpire: () => boolean = () => true) {
     this.#clock = clock
@@ -34,7 +34,7 @@
     this.#lastActivityMs = this.#clock.nowMs()
   }
 
-  /** Does something during which nothing can be heard, since nobody listens: silence counts from its end. */
+  /** Suspends the timer while `work` runs, since nothing is read from the upstream meanwhile. Restarts it afterwards. */
   async pauseDuring<T> (work: Promise<T>): Promise<T> {
     this.#pauses++
     try {
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Ends the watch. */
+  /** Stops the timer. */
   stop (): void {
     this.#parentSignal.removeEventListener('abort', this.#expire)
     this.#stopped.abort(STOPPED)
@@ -54,7 +54,7 @@
   async #run (timeoutMs: number): Promise<void> {
     for (let remainingMs = timeoutMs; remainingMs > 0; remainingMs = this.#remainingMs(timeoutMs)) {
       await this.#clock.sleep(remainingMs, { signal: this.#stopped.signal })
-      // After a pause of this process, what came in time may still be waiting to be read.
+      // After a pause of this process, data that arrived in time may still be unread.
       await this.#clock.settle()
       if (this.#stopped.signal.aborted) return
     }
--- a/request/relay/src/passAnswer.ts
+++ b/request/relay/src/passAnswer.ts
@@ -1,9 +1,9 @@
 import { type RelayAnswer } from '@reelspan/upstream.client'
 import { type RelayContext } from './relayContext.js'
 
-/** When parts of an answer were passed on, since the request began. */
+/** When parts of an answer were passed on, relative to the start of the request. */
 export interface AnswerTimes {
-  /** The upstream's, once it was passed on. */
+  /** HTTP status of the upstream, once it was passed on. */
   status?: number
   firstMs?: number
   lastMs?: number
@@ -12,7 +12,7 @@
   parts: number
 }
 
-/** Passes an upstream's answer on as it comes. Throws `UpstreamError` when it breaks off. */
+/** Streams an upstream's answer to the caller. Throws `UpstreamError` if it is interrupted. */
 export async function passAnswer ({ run, caller }: RelayContext, answer: RelayAnswer, times: AnswerTimes): Promise<void> {
   caller.begin(answer.status, answer.headers)
   times.status = answer.status
@@ -26,7 +26,7 @@
   run.finish()
 }
 
-/** A part of the answer was passed on. */
+/** Records that a part of the answer was passed on. */
 export function recordPartTime (times: AnswerTimes, nowMs: number): void {
   times.firstMs ??= nowMs
   if (times.lastMs !== undefined) {
--- a/request/relay/src/passEvents.ts
+++ b/request/relay/src/passEvents.ts
@@ -6,17 +6,17 @@
 
 export interface PassEventsOptions {
   progress: EventProgress
-  /** Pass on whole events only, so that another upstream can go on behind the last of them. */
+  /** Pass on complete events only, so that another upstream can continue behind the last of them. */
   wholeEvents: boolean
-  /** Watches for the upstream's silence. */
+  /** Aborts the exchange when the upstream sends nothing for too long. */
   idleTimer: IdleTimer
-  /** Called when the first event of this answer is there. */
+  /** Called when the first event of this answer is complete. */
   onFirst?: () => void
 }
 
 /**
- * Passes a stream of events on as they come. An answer that goes on with one
- * that broke off keeps that one's head. Throws `UpstreamError` when it breaks off.
+ * Streams events to the caller. An answer that continues an interrupted one keeps the
+ * status and headers of the first. Throws `UpstreamError` if it is interrupted.
  */
 export async function passEvents (context: RelayContext, answer: RelayAnswer, times: AnswerTimes, opts: PassEventsOptions): Promise<void> {
   const { run, caller } = context
@@ -34,11 +34,11 @@
         first = false
       }
       const passed = wholeEvents ? complete : bytes
-      // A caller that is slow to read says nothing about the upstream.
+      // Time that a slow caller takes to read does not count as idle time of the upstream.
       if (passed.byteLength > 0) await idleTimer.pauseDuring(caller.write(passed))
     }
   } catch (thrown) {
-    // A part of an event belongs to the answer that broke off.
+    // A partial event of the interrupted answer is dropped, since the next answer repeats it.
     progress.flush()
     throw thrown
   }
--- a/request/relay/src/permittedPlacement.ts
+++ b/request/relay/src/permittedPlacement.ts
@@ -6,7 +6,7 @@
 import { type RelayContext } from './relayContext.js'
 import { BlockedUpstreams } from './blockedUpstreams.js'
 
-/** Permits for the engines of a placement: the same one where one engine does all. */
+/** Permits for the engines of a placement. Both are the same if one engine does prefill and decode. */
 export interface EnginePermits {
   prefill: SendPermit
   decode: SendPermit
@@ -18,8 +18,8 @@
 }
 
 /**
- * Takes a permit for each engine of a placement, before any of them works. Gives the placement
- * back and answers nothing when one has none, which is added to `waits`.
+ * Acquires a permit for each engine of a placement before anything is sent. If an engine refuses,
+ * adds it to `blocked`, releases the placement and returns undefined.
  */
 export async function acquireEnginePermits (context: RelayContext, placement: Placement, blocked: BlockedUpstreams): Promise<EnginePermits | undefined> {
   const engines = enginesOf(placement.plan)
@@ -42,18 +42,18 @@
 }
 
 /**
- * Refuses a request that found no place.
+ * Creates the refusal of a request that could not be placed.
  *
- * @param blocked engines that were left out since they had no permit
+ * @param blocked engines that were left out because they refused a permit
  */
 export function noPlacementError ({ opts }: RelayContext, model: string, { reason, retryAfterMs }: PlacementRefusal, blocked: BlockedUpstreams): ReelspanError {
   if (blocked.size === 0) return new ReelspanError(ErrorCode.Overloaded, reason, { retryAfterMs })
   const retryMs = Math.ceil(opts.returnTimes.bookAfter(model, blocked.shortestWaitMs))
-  const why = blocked.allBackingOff ? 'asked this box to wait' : 'have got as many requests as they take for now'
+  const why = blocked.allBackingOff ? 'asked this box to back off' : 'accept no more requests at present'
   return new ReelspanError(blocked.errorCode, `${blocked.describe()} ${why}; ${reason}`, { retryAfterMs: Math.max(retryAfterMs, retryMs) })
 }
 
-/** The engines that a plan makes work: one where it computes the prompt itself. */
+/** The engines of a plan: a single one if it computes the prompt itself. */
 function enginesOf (plan: PlacementPlan): string[] {
   return isOwnPrefill(plan) ? [plan.decodeEngine] : [plan.prefillEngine, plan.decodeEngine]
 }
--- a/request/relay/src/pickPermittedUpstream.ts
+++ b/request/relay/src/pickPermittedUpstream.ts
@@ -4,26 +4,26 @@
 import { type RelayContext } from './relayContext.js'
 import { BlockedUpstreams } from './blockedUpstreams.js'
 
-/** Upstreams enter themselves again within some seconds; callers have few tries. */
+/** Upstreams register again within some seconds, and callers make few retries. */
 const NO_UPSTREAM_RETRY_AFTER_MS = 1000
 
-/** An upstream of a pool, and the permit to send it one request. */
+/** An upstream of a pool with the permit to send it one request. */
 export interface PermittedUpstream {
   upstream: ListedUpstream
   permit: SendPermit
 }
 
 export interface PickResult {
-  /** Nothing when no upstream is left that the request may be sent to. */
+  /** Undefined if the request may not be sent to any upstream. */
   picked?: PermittedUpstream
-  /** Upstreams that were passed over since they have no permit. */
+  /** Upstreams that were skipped because they refused a permit. */
   blocked: BlockedUpstreams
 }
 
 /**
- * Picks an upstream of a pool that the request may be sent to. Those without a permit are passed over, which is no attempt.
+ * Picks an upstream of a pool that the request may be sent to. Skips upstreams that refuse a permit, which does not count as an attempt.
  *
- * @param tried upstreams that the request was sent to before
+ * @param tried upstreams to which the request was already sent
  */
 export async function pickPermittedUpstream (context: RelayContext, pool: string, tried: ReadonlySet<string>): Promise<PickResult> {
   const { opts, picker } = context
@@ -40,7 +40,7 @@
   }
 }
 
-/** Upstreams of a pool that asked this box to wait. They are left out before one is picked: a large pool may have many. */
+/** Upstreams of a pool that asked this box to back off. They are excluded before one is picked, since a large pool may have many. */
 function backoffsOf ({ opts }: RelayContext, pool: string, tried: ReadonlySet<string>): BlockedUpstreams {
   const { backoffs, fleet } = opts
   const blocked = new BlockedUpstreams()
@@ -52,7 +52,7 @@
   return blocked
 }
 
-/** Takes a permit. Where another box was asked for it, the run is looked at again. */
+/** Acquires a permit. If that took a call to another box, checks again that the run may go on. */
 export async function acquirePermit ({ opts, run }: RelayContext, upstream: string): Promise<SendPermit> {
   const permit = await opts.permits.take(upstream)
   if (!permit.limited) return permit
@@ -65,7 +65,7 @@
   }
 }
 
-/** Refuses a request for which a pool has no upstream, with the time to return. */
+/** Creates the refusal of a request for which a pool has no upstream, with a retry delay. */
 export function noUpstreamError (context: RelayContext, pool: string, blocked: BlockedUpstreams): ReelspanError {
   const { opts } = context
   if (blocked.size === 0) return new ReelspanError(ErrorCode.NoUpstream, `pool ${pool} has no upstream that takes work`, { retryAfterMs: NO_UPSTREAM_RETRY_AFTER_MS })
@@ -75,7 +75,7 @@
   const retryAfterMs = Math.ceil(retryMs)
   blocked.log(context, { retryAfterMs })
   const reason = blocked.allBackingOff
-    ? `upstreams of ${pool} asked this box to wait: ${blocked.describe()}`
+    ? `upstreams of ${pool} asked this box to back off: ${blocked.describe()}`
     : `upstreams of ${pool} take ${Number(perSecond.toFixed(2))} requests a second and have got them: ${blocked.describe()}`
   return new ReelspanError(blocked.errorCode, reason, { retryAfterMs })
 }
--- a/request/relay/src/relay.ts
+++ b/request/relay/src/relay.ts
@@ -21,27 +21,27 @@
 import { UpstreamPicker } from './upstreamPicker.js'
 
 /**
- * So long after its start a box keeps requests for its first configuration. It usually comes within some
- * 100 ms; when 58 boxes start while the platform is away it came 1.2 to 1.8 s after they took requests.
+ * How long after its start a box holds requests until its first configuration arrives. It usually takes some
+ * 100 ms, and 1.2 to 1.8 s from the first request when 58 boxes start while the platform is unavailable.
  */
 const STARTUP_CONFIG_TIMEOUT_MS = 2500
-/** Longer than a box was seen to take from its start to a configuration. */
+/** Usually longer than a box takes from its start to its first configuration. */
 const NOT_READY_RETRY_AFTER_MS = 1000
-/** Another box can take the request at once. */
+/** Another box can accept the request at once. */
 const DRAINING_RETRY_AFTER_MS = 100
-/** Part of the retries that the system may make which is planned for; the rest covers boxes that know of fewer others. */
+/** Share of the system's retry burst that is distributed; the rest covers boxes that know fewer members than there are. */
 const BUDGETED_BURST_SHARE = 0.8
 const FIRST_SERVER_ERROR = 500
 
 type Target = Pick<RouteTarget, 'model' | 'pool'>
 
-/** A request that was taken in, and where it goes. */
+/** An admitted request and its target. */
 interface AdmittedRequest extends Pick<RelayContext, 'run' | 'route' | 'request' | 'identity' | 'caller'> {
   admitted: Admitted
   target: Target
 }
 
-/** Owns relayed requests: each is run by the box that received it, at most once unless it may be repeated, and answered once. */
+/** Owner of relayed requests: each is run by the box that received it, at most once unless it is repeatable, and answered once. */
 export class Relay {
   readonly #opts: RelayOptions
   readonly #tasks: TaskGroup
@@ -55,7 +55,7 @@
   #sequence = 0
   #acceptingStopped = false
   readonly #startedAtMs: number
-  /** When this box ends whatever runs, on its clock. */
+  /** When this box aborts running requests, on its own clock. */
   #stopsAtMs = Number.POSITIVE_INFINITY
 
   constructor (opts: RelayOptions) {
@@ -76,12 +76,12 @@
     return this.#running.size
   }
 
-  /** This box ends within that time: new requests are taken only if they can be expected to be over by then. */
+  /** Announces that this box stops after `durationMs`. Accepts only new requests that are expected to end before. */
   endWithin (durationMs: number): void {
     this.#stopsAtMs = this.#opts.clock.nowMs() + durationMs
   }
 
-  /** From now on new requests are refused unrun; those under way go on. */
+  /** Refuses new requests from now on without running them. Running requests continue. */
   closeForNew (): void {
     this.#acceptingStopped = true
   }
@@ -92,7 +92,7 @@
   }
 
   async stop (): Promise<void> {
-    this.#running.forEach((run) => run.end(new ReelspanError(ErrorCode.Draining, 'the box stops', { retryAfterMs: DRAINING_RETRY_AFTER_MS })))
+    this.#running.forEach((run) => run.end(new ReelspanError(ErrorCode.Draining, 'the box is shutting down', { retryAfterMs: DRAINING_RETRY_AFTER_MS })))
     await this.#tasks.stop()
   }
 
@@ -104,23 +104,23 @@
     }
   }
 
-  /** Runs a request and answers its caller. Resolves when the answer is given. */
+  /** Runs a request and answers its caller. Resolves when the answer is complete. */
   async relay (request: RelayedRequest, caller: RelayCaller, deadlineMs?: number): Promise<void> {
     const arrivedAtMs = this.#opts.clock.nowMs()
-    // Without a wait a request counts as under way from the moment in which it came.
+    // Called only if needed, so that otherwise the request is registered as running in the same tick.
     if (this.#opts.configuration().revision === 0) await this.#waitForConfiguration(caller.signal, deadlineMs)
     const route = this.#opts.configuration().routeOfHost(request.host, pathOf(request.target))
     const identity = once(() => identityOfRelayed(request))
     const run = this.#createRun(request, identity, Math.min(deadlineMs ?? Number.POSITIVE_INFINITY, route?.spec.deadlineMs ?? Number.POSITIVE_INFINITY), arrivedAtMs)
     const key = `${request.id}#${this.#sequence++}`
     const times: AnswerTimes = { longestPauseMs: 0, pausesMs: [], parts: 0 }
-    const cancel = () => run.end(new ReelspanError(ErrorCode.Cancelled, 'the caller went away'))
+    const cancel = () => run.end(new ReelspanError(ErrorCode.Cancelled, 'the caller disconnected'))
     this.#running.set(key, run)
     caller.signal.addEventListener('abort', cancel, { once: true })
     if (caller.signal.aborted) cancel()
     this.#tasks.run(() => run.enforceDeadline())
     try {
-      // A run that is ended is answered at once, even while its work still winds up.
+      // An ended run is answered at once, even if its work is still cleaning up.
       await Promise.race([this.#execute(run, route, { request, identity }, caller, times), runEnded(run)])
     } catch (thrown) {
       run.end(toReelspanError(thrown))
@@ -133,7 +133,7 @@
     }
   }
 
-  /** A box that has just started does not know yet where requests go, and soon does. */
+  /** Waits for the first configuration of a box that has just started. */
   async #waitForConfiguration (callerSignal: AbortSignal, deadlineMs = Number.POSITIVE_INFINITY): Promise<void> {
     const { clock, configured } = this.#opts
     const timeoutMs = Math.min(this.#startedAtMs + STARTUP_CONFIG_TIMEOUT_MS - clock.nowMs(), deadlineMs)
@@ -151,7 +151,7 @@
       deadlineMs,
       arrivedAtMs,
       requestId: request.id,
-      // The attempt is bound to this process and to no other, whatever becomes of its membership.
+      // A relayed request is never taken over by another box, even if this one is declared gone.
       isCurrentIncarnation: () => true,
       isExclusive: () => true,
       tryAcquireRetry: () => false,
@@ -162,13 +162,13 @@
   async #execute (run: RunContext, route: Named<RouteSpec> | undefined, { request, identity }: Pick<RelayContext, 'request' | 'identity'>, caller: RelayCaller, times: AnswerTimes): Promise<void> {
     const opts = this.#opts
     if (opts.configuration().revision === 0) throw new ReelspanError(ErrorCode.NotReady, 'this box has no configuration yet', { retryAfterMs: NOT_READY_RETRY_AFTER_MS })
-    if (!route) throw new ReelspanError(ErrorCode.NoRoute, `there is no route for ${request.host}${pathOf(request.target)}`)
-    if (this.#acceptingStopped) throw new ReelspanError(ErrorCode.Draining, 'this box is about to stop', { retryAfterMs: DRAINING_RETRY_AFTER_MS })
+    if (!route) throw new ReelspanError(ErrorCode.NoRoute, `no route for ${request.host}${pathOf(request.target)}`)
+    if (this.#acceptingStopped) throw new ReelspanError(ErrorCode.Draining, 'this box is draining', { retryAfterMs: DRAINING_RETRY_AFTER_MS })
     this.#removeUnlisted()
     const { model, pool } = this.#pickTarget(route.spec)
-    // Routes to one target differ in how long their requests last.
+    // Requests of different routes to one target differ in duration.
     const kind = `${route.name}|${model ?? pool as string}`
-    // Before anything is waited for: a request that came before the stop counts as under way.
+    // Checked before the first wait, so that a request that arrived before the stop counts as running.
     this.#checkFinishesBeforeStop(run, kind)
     const admitted = await this.#admit(request, route)
     try {
@@ -208,11 +208,11 @@
   async #executeAt (context: RelayContext, { model, pool }: Target, times: AnswerTimes): Promise<void> {
     if (model === undefined) return new ServiceRelay(context, pool as string).execute(times)
     const { prompt } = context.request
-    if (!prompt) throw new ReelspanError(ErrorCode.BadRequest, 'a request to a model declares the sizes of its prompt')
+    if (!prompt) throw new ReelspanError(ErrorCode.BadRequest, 'a request to a model must declare its prompt sizes')
     return new CompletionRelay(context, model, prompt).execute(times)
   }
 
-  /** Throws when the request would probably still run when this box ends. */
+  /** Throws if the request is likely to be still running when this box stops. */
   #checkFinishesBeforeStop (run: RunContext, kind: string): void {
     const remainingMs = this.#stopsAtMs - this.#opts.clock.nowMs()
     const expectedMs = Math.min(run.remainingMs, this.#runDurations.expectedMaxMs(kind) ?? run.remainingMs)
@@ -220,7 +220,7 @@
     throw new ReelspanError(ErrorCode.Draining, `this box stops within ${Math.round(remainingMs)} ms, and the request may take ${Math.round(expectedMs)} ms`, { retryAfterMs: DRAINING_RETRY_AFTER_MS })
   }
 
-  /** What was seen of upstreams that are gone is of no use any more. */
+  /** Drops the statistics of upstreams that are no longer listed. */
   #removeUnlisted (): void {
     const { fleet, fleetRevision } = this.#opts
     if (this.#fleetRevision === fleetRevision()) return
@@ -282,7 +282,7 @@
   }
 }
 
-/** Connects the tries of a caller, which have ids of their own. */
+/** Hash that correlates a caller's attempts, which have different ids. */
 function promptHash ({ prompt }: RelayedRequest): string | undefined {
   const whole = prompt?.prefixes.at(-1)
   return whole && hash32(whole.digest).toString(36)
--- a/request/relay/src/relayCaller.ts
+++ b/request/relay/src/relayCaller.ts
@@ -1,25 +1,25 @@
 import { type FinalAnswer } from '@reelspan/core.messages'
 
-/** The caller's side of a relayed request. */
+/** The caller side of a relayed request. */
 export abstract class RelayCaller {
-  /** Aborted when the caller has left. */
+  /** Aborted when the caller disconnects. */
   abstract get signal (): AbortSignal
 
   /** Whether a part of an answer was passed on. */
   abstract get begun (): boolean
 
-  /** Passes the head of an upstream's answer on. */
+  /** Passes on the status and headers of an upstream's answer. */
   abstract begin (status: number, headers: readonly string[]): void
 
-  /** Passes a part of the body on. Resolves when more may follow. */
+  /** Passes on a part of the body. Resolves when the caller can take more. */
   abstract write (bytes: Uint8Array): Promise<void>
 
-  /** The answer is whole. */
+  /** Ends a complete answer. */
   abstract finish (): void
 
-  /** The answer has begun and will not be whole. The caller must be able to tell. */
+  /** Ends an answer that has begun and is incomplete. The caller must be able to detect this. */
   abstract cut (): void
 
-  /** Gives reelspan's own final answer, when nothing of an upstream's was passed on. */
+  /** Sends reelspan's own final answer. Only called when no part of an upstream's answer was passed on. */
   abstract refuse (final: FinalAnswer): void
 }
--- a/request/relay/src/relayContext.ts
+++ b/request/relay/src/relayContext.ts
@@ -8,20 +8,20 @@
 import { type RelayOptions } from './relayOptions.js'
 import { type UpstreamPicker } from './upstreamPicker.js'
 
-/** What one relayed request works with. */
+/** Dependencies and state of one relayed request. */
 export interface RelayContext {
   opts: RelayOptions
   run: RunContext
   request: RelayedRequest
-  /** What the request has in common with its caller's other attempts. */
+  /** Identity that the request shares with its caller's other attempts. */
   identity: () => RequestIdentity
   caller: RelayCaller
   route: Named<RouteSpec>
-  /** 0 is the most urgent. */
+  /** Urgency class; 0 is the most urgent. */
   urgency: number
   budget: RetryBudget
   health: UpstreamHealth
   picker: UpstreamPicker
-  /** Writes a decision about this request to the log. */
+  /** Logs a decision about this request. */
   logDecision: (event: LogEvent, fields: LogFields) => void
 }
--- a/request/relay/src/relayOptions.ts
+++ b/request/relay/src/relayOptions.ts
@@ -16,37 +16,37 @@
   random: Random
   upstreams: RelayClient
   placer: Placer
-  /** Takes requests in for client accounts. */
+  /** Admits requests on behalf of client accounts. */
   admission: BoxAdmission
   configuration: () => Configuration
-  /** Resolves once this box has a configuration, or the signal is aborted. */
+  /** Resolves once this box has a configuration or the signal is aborted. */
   configured: (signal: AbortSignal) => Promise<void>
   fleet: () => FleetList
-  /** The order of the list that the fleet comes from, over all eras of the platform's store. */
+  /** Revision of the upstream list, ordered across all eras of the platform's store. */
   fleetRevision: () => number
-  /** This box's present incarnation. */
+  /** Present peer address, incarnation and zone of this box. */
   standing: () => { peerAddress: string, incarnation: string, availabilityZone: string }
-  /** What boxes tell each other of upstreams that close connections without an answer. */
+  /** Reports of all boxes about upstreams that close connections without an answer. */
   upstreamReports: Pick<UpstreamReports, 'isFailing'>
-  /** Takes in what responses advertise about their upstreams. */
+  /** Processes the rate limits and backoffs that responses advertise. */
   signals: SignalObserver
-  /** What upstreams advertised of late, to any box. */
+  /** Latest state that upstreams advertised to any box. */
   upstreamStates: UpstreamStates
-  /** Upstreams that asked this box to wait. */
+  /** Upstreams that asked this box to back off. */
   backoffs: Backoffs
-  /** What it takes to send an upstream a request. */
+  /** Grants the permits that are required to send requests to upstreams. */
   permits: SendPermits
-  /** When callers come back that no upstream may be sent. */
+  /** Assigns retry times to callers whose requests are refused because of upstream limits. */
   returnTimes: ReturnTimes
-  /** An upstream closed a connection without an answer. */
+  /** Called when an upstream closes a connection without an answer. */
   onClosedUnanswered: (upstream: string) => void
-  /** Told of answers of upstreams that broke off. */
+  /** Records answers of upstreams that were interrupted. */
   brokenRuns: BrokenRuns
-  /** Keeps requests from upstreams that have ended those that ran them. */
+  /** Blocks requests that have repeatedly made upstreams exit. */
   quarantine: Quarantine
-  /** Boxes that share the retry budget, this one included. */
+  /** Number of boxes that share the retry budget, including this one. */
   boxCount: () => number
-  /** Told of a task that a fault of the program ended. */
+  /** Called when a background task ends with an unexpected error. */
   onTaskError?: TaskErrorListener
   retriesPerRequest: number
   retryBurst: number
--- a/request/relay/src/relayedKind.ts
+++ b/request/relay/src/relayedKind.ts
@@ -1,6 +1,6 @@
 import { type RouteSpec } from '@reelspan/config.resources'
 
-/** What a route's requests are, as far as it decides how they may be served. */
+/** Kind of a route's requests, which decides how they may be retried. */
 export enum RelayedKind {
   Call = 'call',
   RepeatableCall = 'repeatableCall',
--- a/request/relay/src/runDurations.ts
+++ b/request/relay/src/runDurations.ts
@@ -1,13 +1,13 @@
-/** Runs of a kind that are remembered: some minutes of a calm day, some seconds of a busy one. */
+/** Latest runs that are kept per kind: some minutes under light load, some seconds under heavy load. */
 const MAX_RUNS_PER_KIND = 64
-/** Kinds that are remembered, those that ran last: more than a deployment has routes, and bounded where routes come and go. */
+/** Kinds that are kept, by latest run: more than a deployment has routes, and a bound where routes change. */
 const MAX_KINDS = 4000
-/** Fewer runs do not tell how long the next one may last: among this many, the longest is passed by one in nine that follow. */
+/** Minimum sample for an estimate: with 8 runs, one in nine later runs takes longer than the longest of them. */
 const MIN_RUNS = 8
-/** A run may last this many times as long as the longest that is remembered: engines slow down while others are lost. */
+/** Factor on the longest kept run, since engines slow down while others are lost. */
 const SAFETY_FACTOR = 1.25
 
-/** How long runs of a kind have lasted of late. */
+/** Durations of recent runs by kind. */
 export class RunDurations {
   readonly #durationsMs = new Map<string, number[]>()
 
@@ -18,7 +18,7 @@
     if (this.#durationsMs.size > MAX_KINDS) this.#durationsMs.delete(this.#durationsMs.keys().next().value as string)
   }
 
-  /** What a run that begins now may well take. Undefined while too few have ended. */
+  /** Expected maximum duration of a run that begins now, or undefined if too few runs have ended. */
   expectedMaxMs (kind: string): number | undefined {
     const known = this.#durationsMs.get(kind) ?? []
     return known.length < MIN_RUNS ? undefined : SAFETY_FACTOR * Math.max(...known)
--- a/request/relay/src/sendToUpstream.ts
+++ b/request/relay/src/sendToUpstream.ts
@@ -4,8 +4,8 @@
 import { type RelayContext } from './relayContext.js'
 
 /**
- * An upstream, and the permit to send it one request. Nothing is sent without one: an upstream's limit is for all
- * boxes together, and no box sees what the others send.
+ * An upstream with the permit to send it one request. Every request needs a permit: an upstream's limit is shared
+ * by all boxes, and no box sees what the others send.
  */
 export interface PermittedTarget {
   target: RelayTarget
@@ -13,8 +13,8 @@
 }
 
 /**
- * Sends a request to an upstream that will run it. Once it is sent it may have run,
- * unless the upstream says that it did not. Throws `UpstreamError`.
+ * Sends a request to the upstream that runs it. From then on it may have run, unless the
+ * upstream reports that it did not. Throws `UpstreamError`.
  */
 export function sendToUpstream (context: RelayContext, to: PermittedTarget, runOptions: RelayRunOptions): Promise<RelayAnswer> {
   const { opts, run, request } = context
@@ -27,17 +27,17 @@
     const answer = await opts.upstreams.run(target, request, withAccounting(context, to, { ...runOptions, onSend }))
     if (!answer.notRun) return answer
     void drainAnswer(answer)
-    throw new UpstreamError(`${target.instance} answered ${answer.status} and did not run the request`, { mayHaveRun: false, refused: true })
+    throw new UpstreamError(`${target.instance} responded with ${answer.status} without running the request`, { mayHaveRun: false, refused: true })
   })
 }
 
-/** Has an engine compute the KV cache of a request's prompt. Throws `UpstreamError`. */
+/** Requests the prefill of a prompt from an engine. Throws `UpstreamError`. */
 export function prefillAtUpstream (context: RelayContext, to: PermittedTarget, callOptions: RelayCallOptions): Promise<PrefilledPrompt> {
   const { opts, request } = context
   return opts.upstreams.prefill(to.target, request, withAccounting(context, to, callOptions))
 }
 
-/** Uses the permit when the request is sent, and observes what the response advertises. */
+/** Adds callbacks that consume the permit when the request is sent and process the signals that the response advertises. */
 function withAccounting<T extends RelayCallOptions> ({ opts: { clock, signals } }: RelayContext, { target, permit }: PermittedTarget, callOptions: T): T {
   let sentAtMs = clock.nowMs()
   return {
--- a/request/relay/src/serviceRelay.ts
+++ b/request/relay/src/serviceRelay.ts
@@ -9,20 +9,20 @@
 import { type RelayContext } from './relayContext.js'
 import { sendToUpstream } from './sendToUpstream.js'
 
-/** Connections that could not be opened reach no upstream and do not count as attempts; this bounds them. */
+/** Bound on attempts including failed connections, which do not count toward the attempts of a route. */
 const MAX_ATTEMPTS = 6
 const FIRST_SERVER_ERROR = 500
-/** Latency targets after which a silent upstream is given up for another one: later, the answer is worth little anyway. */
+/** Latency targets after which an unresponsive upstream is abandoned for another one; a later answer has little value. */
 const TIMEOUT_TARGETS = 1.5
 
-/** Relays a request to a plain service. */
+/** Relays a request to a service upstream. */
 export class ServiceRelay {
   readonly #context: RelayContext
   readonly #pool: string
   readonly #tried = new Set<string>()
-  /** Where the next attempt goes. */
+  /** Upstream of the next attempt, if already picked. */
   #next?: PermittedUpstream
-  /** Gives the present attempt up, if it may be given up. */
+  /** Aborts the present attempt on timeout. Undefined if it must not be aborted. */
   #attemptTimeout?: AbortController
   #sent = 0
 
@@ -98,13 +98,13 @@
     })
   }
 
-  /** One that is full and says no more: its next calls would wait about as long as a call may take. */
+  /** A refusal without a backoff means that the upstream is full: counts it as a call that took the whole latency target. */
   #recordRefusal ({ name }: ListedUpstream): void {
     const { opts, picker, route } = this.#context
     if (opts.backoffs.remainingMs(name) === 0) picker.recordLatency(name, route.spec.ttftTargetMs)
   }
 
-  /** While another attempt is left, silence is waited out for a part of the time only. */
+  /** Signal of an attempt. Includes a timeout if another attempt may follow. */
   #attemptSignal (upstream: ListedUpstream, attempt: number): AbortSignal {
     const { run, route } = this.#context
     this.#attemptTimeout = undefined
@@ -115,7 +115,7 @@
     return AbortSignal.any([run.signal, timeout.signal])
   }
 
-  /** What cannot be sent elsewhere is waited for: its answer is of use as long as the caller is there. */
+  /** Aborts an unresponsive attempt once another upstream is available. Otherwise keeps waiting, since the answer is useful as long as the caller is connected. */
   async #abortOnTimeout (upstream: ListedUpstream, timeout: AbortController): Promise<void> {
     const { opts, run, route, caller, budget } = this.#context
     const timeoutMs = Math.min(run.remainingMs / 2, TIMEOUT_TARGETS * route.spec.ttftTargetMs)
@@ -126,14 +126,14 @@
     }
   }
 
-  /** Passes the answer on, unless another upstream may give a better one. */
+  /** Passes the answer on, or throws if it is a failure and another upstream may succeed. */
   async #handleAnswer (upstream: ListedUpstream, answer: RelayAnswer, attempt: number, times: AnswerTimes): Promise<void> {
     const { route, run, budget } = this.#context
     const mayRetryElsewhere = answer.status >= FIRST_SERVER_ERROR && !route.spec.notRepeatable && this.#sent < route.spec.maxAttempts && attempt < MAX_ATTEMPTS
-    // What can be passed on is not given up before there is another upstream that takes the request.
+    // The failure response is dropped only once another upstream has granted a permit.
     if (mayRetryElsewhere && budget.left >= 1 && this.#hasOther(upstream) && await this.#findNext(upstream)) {
       void drainAnswer(answer)
-      throw new UpstreamError(`${upstream.name} answered ${answer.status}`, { mayHaveRun: true, failed: true })
+      throw new UpstreamError(`${upstream.name} responded with ${answer.status}`, { mayHaveRun: true, failed: true })
     }
     run.throwIfEnded()
     await passAnswer(this.#context, answer, times)
@@ -143,15 +143,15 @@
     const { run, route, budget, caller } = this.#context
     if (!(thrown instanceof UpstreamError) || caller.begun || attempt >= MAX_ATTEMPTS) return false
     if (run.mayHaveRun && route.spec.notRepeatable) return false
-    // Nothing has reached an upstream yet: what follows is no repetition.
+    // No upstream has received the request yet, so the next attempt is not a retry.
     if (this.#sent === 0) return true
     return this.#sent < route.spec.maxAttempts && await this.#findNext() && budget.tryAcquireRetry()
   }
 
   /**
-   * Finds where another attempt goes, if there is such an upstream.
+   * Picks the upstream of the next attempt, if there is one.
    *
-   * @param failed where the present one is
+   * @param failed upstream of the present attempt
    */
   async #findNext (failed?: ListedUpstream): Promise<boolean> {
     if (this.#next) return true
@@ -160,7 +160,7 @@
     return picked !== undefined
   }
 
-  /** The same beside an attempt, for a run that may end meanwhile. */
+  /** Like `#findNext`, during an attempt. Returns false if the run ends meanwhile. */
   async #findNextWhileRunning (upstream: ListedUpstream): Promise<boolean> {
     const { run } = this.#context
     return this.#findNext(upstream).catch((thrown: unknown) => {
--- a/request/relay/src/upstreamPicker.ts
+++ b/request/relay/src/upstreamPicker.ts
@@ -7,21 +7,21 @@
   clock: Clock
   random: Random
   health: UpstreamHealth
-  /** Whether other boxes agree that an upstream fails. */
+  /** Whether several boxes report that an upstream fails. */
   isFailing: (upstream: string) => boolean
-  /** Where this box is. */
+  /** Availability zone of this box. */
   availabilityZone: () => string
 }
 
 /**
- * An upstream in another availability zone is taken for this much slower: more than the way (some 3 ms
- * on calls of 60), so that the noise of the few calls that one box sees does not send calls between zones.
+ * Factor on the expected latency in other availability zones. It exceeds the round trip (some 3 ms on
+ * calls of 60 ms), so that noise in one box's few samples does not move calls between zones.
  */
 const REMOTE_ZONE_FACTOR = 1.25
-/** An upstream works on some calls at once: one more of this box's makes it slower by about a fifth. Where each counted in full, 45 in 100 calls left their zone. */
+/** An upstream runs several calls concurrently, so each call in flight adds about a fifth to the expected latency. Counting each in full moves 45 of 100 calls to another zone. */
 const UPSTREAM_CONCURRENCY = 5
 
-/** Picks upstreams of service pools by how long calls take there, and by what this box has in flight. */
+/** Picks upstreams of service pools by their recent latency and the calls that this box has in flight there. */
 export class UpstreamPicker {
   readonly #opts: UpstreamPickerOptions
   readonly #inFlight = new Map<string, number>()
@@ -31,7 +31,7 @@
     this.#opts = opts
   }
 
-  /** The one where a call is expected to end first; suspects and those that failed the request only when there is no other. */
+  /** Picks the untried upstream with the lowest expected latency. Picks a suspect or failing one only if there is no other. */
   pick (listed: readonly ListedUpstream[], tried: ReadonlySet<string>): ListedUpstream | undefined {
     const { health, isFailing, random } = this.#opts
     const untried = listed.filter(({ name }) => !tried.has(name))
@@ -43,7 +43,7 @@
     return picked
   }
 
-  /** A call took this long there, or it was turned away and lost this much. */
+  /** Records how long a call took, or the equivalent cost of a refused one. */
   recordLatency (upstream: string, durationMs: number): void {
     this.#latencies.record(upstream, durationMs, this.#opts.clock.nowMs())
   }
@@ -53,7 +53,7 @@
     return (1 + this.inFlightAt(name) / UPSTREAM_CONCURRENCY) * this.#latencies.expectedMs(name, this.#opts.clock.nowMs()) * zoneFactor
   }
 
-  /** Forgets upstreams that are gone. */
+  /** Drops the latencies of all other upstreams. */
   retain (names: ReadonlySet<string>): void {
     this.#latencies.retain(names)
   }
