--- a/request/quarantine/test/interruptedRuns.ts
+++ b/request/quarantine/test/interruptedRuns.ts
@@ -20,7 +20,7 @@
 
 const PRESENCE: Partial<Record<string, UpstreamPresence>> = { '10.0.1.1:1': UpstreamPresence.Refuses, '10.0.1.3:1': UpstreamPresence.Silent }
 
-/** Takes some ms, and counts how often it looked. */
+/** Takes some milliseconds and counts its calls. */
 class CountingProbe extends UpstreamProbe {
   checks = 0
   readonly #clock: VirtualClock
@@ -49,7 +49,7 @@
   return { clock, log, probe, metrics, brokenRuns, run, listed, ended }
 }
 
-test('a broken run is told of with the request that ran, and whether its upstream has ended', async (t) => {
+test('an interrupted run is logged with its request and whether its upstream has exited', async (t) => {
   const { clock, log, metrics, brokenRuns, run } = startInterruptedRuns()
   void brokenRuns.record(run())
   void brokenRuns.record(run({ request: 'r2', upstream: 'd2', address: '10.0.1.2:1' }))
@@ -61,20 +61,20 @@
   t.regex(metrics.exposition(), /reelspan_runs_broken_off_total\{presence="refuses"\} 1/)
 })
 
-test('an upstream whose runs break off together is looked at once', async (t) => {
+test('an upstream whose runs are interrupted together is probed once', async (t) => {
   const { clock, log, probe, brokenRuns, run } = startInterruptedRuns()
   await clock.run(Promise.all(Array.from({ length: 64 }, (_, i) => brokenRuns.record(run({ request: `r${i}` })))))
   t.is(probe.checks, 1)
   t.is(log.lines.length, 64)
 })
 
-test('only upstreams whose processes were found ended are told of as such', async (t) => {
+test('only upstreams whose processes were found to have exited are reported as exited', async (t) => {
   const { clock, brokenRuns, run, ended } = startInterruptedRuns()
   await clock.run(Promise.all([brokenRuns.record(run()), brokenRuns.record(run({ upstream: 'd2', address: '10.0.1.2:1' })), brokenRuns.record(run({ upstream: 'd3', address: '10.0.1.3:1' }))]))
   t.deepEqual(ended.map(({ upstream }) => upstream), ['d1'])
 })
 
-test('an upstream that was silent has ended when the list drops it, unless it had said that it leaves', async (t) => {
+test('an unresponsive upstream counts as exited when it is removed from the list, unless it was draining', async (t) => {
   const { clock, brokenRuns, run, listed, ended } = startInterruptedRuns()
   const silent = () => brokenRuns.record(run({ upstream: 'd3', address: '10.0.1.3:1' }))
   await clock.run(silent())
--- a/request/quarantine/test/judgeRequest.ts
+++ b/request/quarantine/test/judgeRequest.ts
@@ -9,7 +9,7 @@
 
 let nextId = 0
 
-/** The nth of a series of ends, some time apart, the last of which was just now. */
+/** The nth of a series of upstream exits at regular intervals that ends now. */
 function end (content: string, nth: number, over: Partial<RunEvent> = {}): RunEvent {
   return { id: `e${nextId++}`, end: RunEnd.UpstreamEnded, content, caller: 'w', upstream: `u${nth}`, ageMs: (20 - nth) * INTERVAL_MS, ranMs: RAN_MS, ...over }
 }
@@ -29,47 +29,47 @@
   return judgeRequest(historyOf(events), { content, caller }).length > 0
 }
 
-test('a request is held for the cause after three upstreams that ended one after the other, and not before', (t) => {
+test('a request is quarantined after three successive upstream exits, and not before', (t) => {
   t.false(isQuarantined(series('a', [1, 2]), 'a'))
   t.true(isQuarantined(series('a', [1, 2, 3]), 'a'))
   t.false(isQuarantined(series('a', [1, 2, 3]), 'b'))
 })
 
-test('an upstream that comes back under its name counts each time that it ends', (t) => {
+test('an upstream that restarts with the same name counts each time that it exits', (t) => {
   t.true(isQuarantined(series('a', [1, 2, 3], { upstream: 'u' }), 'a'))
 })
 
-test('upstreams that ended together count once, however many copies ran', (t) => {
+test('simultaneous upstream exits count once, however many copies ran', (t) => {
   const simultaneous = Array.from({ length: 8 }, (_, i) => end('a', 3, { upstream: `u${i}`, ageMs: 1000 + i, ranMs: 200 }))
   t.false(isQuarantined(simultaneous, 'a'))
   t.false(isQuarantined([...simultaneous, end('a', 19)], 'a'))
 })
 
-test('a run that came to its end takes back what was held against its request', (t) => {
+test('a finished run resets the upstream exits that count against its request', (t) => {
   const finished = (ageMs: number, caller = 'w') => end('a', 0, { end: RunEnd.Finished, upstream: undefined, ageMs, ranMs: 0, caller })
   const three = series('a', [1, 2, 3])
   const afterTwo = (20 - 2) * INTERVAL_MS - 100
   t.false(isQuarantined([...three, finished(0)], 'a'))
   t.false(isQuarantined([...three, finished(afterTwo)], 'a'))
   t.true(isQuarantined([...three, finished(20 * INTERVAL_MS)], 'a'))
-  t.true(isQuarantined([...three, finished(0, 'other')], 'a'), 'another caller may send it unharmed')
+  t.true(isQuarantined([...three, finished(0, 'other')], 'a'), 'a finished run of another caller does not reset the count')
   t.false(isQuarantined([...three, finished(0, 'other')], 'a', 'other'))
 })
 
-test('copies of several callers are judged together, those of one caller say nothing of others', (t) => {
+test('copies of several callers are judged together, those of one caller do not count against others', (t) => {
   t.true(isQuarantined([end('a', 1), end('a', 2, { caller: 'x' }), end('a', 3, { caller: 'y' })], 'a', 'z'))
   t.false(isQuarantined(series('a', [1, 2, 3]), 'a', 'z'))
 })
 
-test('an end is laid to the request that was at more ends', (t) => {
+test('an upstream exit is attributed to the request with more exits', (t) => {
   const crashing = series('a', [1, 2, 3, 4, 5])
   const beside = series('b', [2, 3, 5])
   t.true(isQuarantined([...crashing, ...beside], 'a'))
   t.false(isQuarantined([...crashing, ...beside], 'b'))
-  t.true(isQuarantined([...crashing, ...beside, ...series('b', [6, 7, 8])], 'b'), 'three more without the other')
+  t.true(isQuarantined([...crashing, ...beside, ...series('b', [6, 7, 8])], 'b'), 'three more exits without the other request')
 })
 
-test('two requests that were at the same ends are both in doubt, until one of them runs without the other', (t) => {
+test('two requests with the same exits need more exits, until one of them runs without the other', (t) => {
   const both = (nths: readonly number[]) => [...series('a', nths), ...series('b', nths)]
   t.false(isQuarantined(both([1, 2, 3]), 'a'))
   t.true(isQuarantined([...both([1, 2, 3]), end('a', 4)], 'a'))
@@ -78,7 +78,7 @@
   t.true(isQuarantined(both([1, 2, 3, 4, 5]), 'a'))
 })
 
-test('boxes that heard of the same events in any order, and more than once, believe the same', (t) => {
+test('boxes that received the same events in any order, and more than once, have the same state', (t) => {
   const drawn = fc.array(fc.record({
     content: fc.constantFrom('a', 'b', 'c'),
     caller: fc.constantFrom('w', 'x'),
@@ -96,7 +96,7 @@
   t.pass()
 })
 
-test('a request that was at fewer ends than allowed is never held for the cause', (t) => {
+test('a request with fewer exits than the limit is never quarantined', (t) => {
   const drawn = fc.array(fc.record({ content: fc.constantFrom('a', 'b', 'c', 'd'), nth: fc.integer({ min: 0, max: 12 }) }), { maxLength: 30 })
   fc.assert(fc.property(drawn, (runs) => {
     const history = historyOf(runs.map(({ content, nth }) => end(content, nth)))
--- a/request/quarantine/test/runHistory.ts
+++ b/request/quarantine/test/runHistory.ts
@@ -3,7 +3,7 @@
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
-/** More than are remembered. */
+/** More than the history stores. */
 const RUN_COUNT = 20_000
 const MAX_RUNS = 2000
 
@@ -11,7 +11,7 @@
   return { id, end: RunEnd.UpstreamEnded, content, caller: 'w', upstream: id, ageMs: 0, ranMs: 50, ...over }
 }
 
-test('a flood of different requests neither fills the memory nor makes a request forgotten that ends upstreams', (t) => {
+test('many different requests neither exceed the memory bound nor evict a request with several exits', (t) => {
   const history = new RunHistory({ clock: new VirtualClock() })
   const known = [900, 600, 300].map((ageMs, i) => end(`k${i}`, 'ends', { ageMs }))
   known.forEach((event) => history.add(event))
@@ -21,13 +21,13 @@
   t.is(judgeRequest(history, { content: 'ends', caller: 'w' }).length, 3)
 })
 
-test('a flood of one request fills its own share alone', (t) => {
+test('many runs of one request use only that request\'s share', (t) => {
   const history = new RunHistory({ clock: new VirtualClock() })
   Array.from({ length: RUN_COUNT }, (_, i) => history.add(end(`f${i}`, 'ends', { ageMs: RUN_COUNT - i })))
   t.true(history.size < 20)
 })
 
-test('what was long ago is forgotten, and not heard of again', (t) => {
+test('old runs expire and are not added again', (t) => {
   const clock = new VirtualClock()
   const history = new RunHistory({ clock })
   history.add(end('a', 'ends', { ageMs: RUN_RETENTION_MS - 100 }))
@@ -40,7 +40,7 @@
   })
 })
 
-test('events are told with their age of now', async (t) => {
+test('events are exported with their present age', async (t) => {
   const clock = new VirtualClock()
   const history = new RunHistory({ clock })
   history.add(end('a', 'ends', { ageMs: 30 }))
--- a/request/relay/test/__utils__/createRelay.ts
+++ b/request/relay/test/__utils__/createRelay.ts
@@ -14,10 +14,10 @@
 import { KeepingCaller } from '@reelspan/utils.fake-fleet'
 import { NO_ACCOUNTS, SeededRandom, VirtualClock } from '@reelspan/utils.fakes'
 
-/** What a scripted upstream does with one request. */
+/** Scripted behavior of an upstream for one request. */
 export type Script = (opts: RelayRunOptions & { clock: VirtualClock }) => Promise<RelayAnswer>
 
-/** Upstreams that follow scripts, in the order in which requests reach them. */
+/** Upstreams that run the scripts in the order in which requests arrive. */
 export class ScriptedUpstreams extends RelayClient {
   readonly runs: { instance: string, request: RelayedRequest, opts: RelayRunOptions }[] = []
   readonly prefills: string[] = []
@@ -27,12 +27,12 @@
   readonly #inProgress: AbortSignal[] = []
   prefillFailure?: UpstreamError
   prefillHangs = false
-  /** The prefill ends when this resolves, whatever becomes of its caller. */
+  /** The prefill ends when this resolves, even if it was aborted. */
   prefillEnds?: Promise<void>
   onPrefill?: () => void
   /** Instances that accept no connection. */
   readonly unreachable = new Set<string>()
-  /** Requests wait for this before they are sent, or are given up unsent. */
+  /** Requests wait for this before they are sent, unless they are aborted first. */
   connects?: Promise<void>
 
   constructor (clock: VirtualClock, scripts: Script[]) {
@@ -41,7 +41,7 @@
     this.#scripts = scripts
   }
 
-  /** What goes on at upstreams and was not given up. */
+  /** Number of calls in progress at upstreams that were not aborted. */
   get inProgress (): number {
     return this.#inProgress.filter(({ aborted }) => !aborted).length
   }
@@ -89,9 +89,9 @@
   }
 }
 
-/** A caller that keeps what it gets, and may stop taking it in. */
+/** A caller that records what it receives and can stop reading. */
 export class RecordingCaller extends KeepingCaller {
-  /** Takes in nothing more until it leaves or reads again. */
+  /** Blocks writes until the caller disconnects or resumes reading. */
   stopsReading = false
   #onReadingResumed = () => {}
 
@@ -110,7 +110,7 @@
   }
 }
 
-/** Places everything on the same two engines, or refuses. */
+/** Places each request on the same prefill engine and a new decode engine, or refuses it. */
 class FixedPlacer extends Placer {
   readonly requests: PlaceRequest[] = []
   placed = 0
@@ -118,10 +118,10 @@
   readonly outcomes: EngineOutcome[] = []
   refusal?: PlacementRefusal
   startInMs = 0
-  /** Decode engines compute the prompts themselves. */
+  /** Whether decode engines compute the prompts themselves. */
   ownPrefill = false
   prefilled = 0
-  /** The answer comes when this resolves, whatever becomes of its caller. */
+  /** The placement is returned when this resolves, even if the request was aborted. */
   answers?: Promise<void>
 
   async place (request: PlaceRequest): Promise<Placement | PlacementRefusal> {
@@ -146,7 +146,7 @@
   }
 }
 
-/** Upstreams that have ended refuse connections; all others listen. */
+/** Upstreams that have exited refuse connections; all others listen. */
 class ScriptedProbe extends UpstreamProbe {
   readonly ended = new Set<string>()
 
@@ -185,15 +185,15 @@
 export interface TestRelayOptions {
   retryBurst?: number
   services?: readonly string[]
-  /** The box has no configuration before; from the start without it. */
+  /** The box gets its configuration after this time; by default it has one from the start. */
   configuredAfterMs?: number
-  /** Decode engines compute prompts themselves if they must. */
+  /** Whether decode engines can compute prompts themselves. */
   computesPrompts?: boolean
   onTaskError?: RelayOptions['onTaskError']
   admission?: RelayOptions['admission']
 }
 
-/** A relay before scripted upstreams, with four routes of the kinds there are. */
+/** Creates a relay with scripted upstreams and one route of each of the four kinds. */
 export function createRelay (scripts: Script[], { retryBurst = 20, services = ['s1', 's2', 's3'], computesPrompts = false, configuredAfterMs = 0, onTaskError, admission = NO_ACCOUNTS }: TestRelayOptions = {}) {
   const clock = new VirtualClock()
   const startedAtMs = clock.nowMs()
@@ -271,18 +271,18 @@
   return async () => ({ status, notRun: false, headers: [], body: bodyOf([text]) })
 }
 
-/** Answers after a while, unless it is given up before. */
+/** Answers after a delay, unless aborted before. */
 export function answersAfter (waitMs: number, status: number, text: string): Script {
   return async ({ clock, signal }) => {
     await clock.sleep(waitMs, { signal })
-    if (signal.aborted) throw new UpstreamError('given up', { mayHaveRun: true, unreachable: true })
+    if (signal.aborted) throw new UpstreamError('aborted', { mayHaveRun: true, unreachable: true })
     return { status, notRun: false, headers: [], body: bodyOf([text]) }
   }
 }
 
-/** Begins an answer and breaks off behind the given parts. */
+/** Begins an answer and fails behind the given parts. */
 export function aborts (status: number, parts: string[]): Script {
-  return async () => ({ status, notRun: false, headers: [], body: bodyOf(parts, new UpstreamError('broke off', { mayHaveRun: true })) })
+  return async () => ({ status, notRun: false, headers: [], body: bodyOf(parts, new UpstreamError('connection lost', { mayHaveRun: true })) })
 }
 
 export function refuses (): Script {
@@ -293,12 +293,12 @@
   return async () => { throw new UpstreamError('failed', opts) }
 }
 
-/** Says nothing until it is given up. */
+/** Sends nothing until aborted. */
 export function hangs (): Script {
   return ({ signal }) => rejectOnAbort(signal)
 }
 
-/** Begins an answer and says no more until it is given up. */
+/** Begins an answer, then sends nothing until aborted. */
 export function stalls (status: number, part: string): Script {
   return async ({ signal }) => ({ status, notRun: false, headers: [], body: stallingBody(part, signal) })
 }
@@ -310,18 +310,18 @@
 
 function rejectOnAbort (signal: AbortSignal, { mayHaveRun } = { mayHaveRun: true }): Promise<never> {
   return new Promise((_resolve, reject) => {
-    const abort = () => reject(new UpstreamError('given up', { mayHaveRun, unreachable: true }))
+    const abort = () => reject(new UpstreamError('aborted', { mayHaveRun, unreachable: true }))
     if (signal.aborted) abort()
     else signal.addEventListener('abort', abort)
   })
 }
 
-/** Gives its parts at once; breaks off if it is given up before they are taken. */
+/** Sends its parts at once; fails if aborted before they are read. */
 export function endsUnlessAborted (status: number, parts: string[]): Script {
   return async ({ signal }) => ({ status, notRun: false, headers: [], body: bodyUnlessAborted(parts, signal) })
 }
 
-/** Gives a part, pauses before each further one, and breaks off if it is given up. */
+/** Sends a part, pauses before each further one, and fails if aborted. */
 export function pauses (status: number, parts: string[], pauseMs: number): Script {
   return async ({ clock, signal }) => ({ status, notRun: false, headers: [], body: pausingBody(parts, () => clock.sleep(pauseMs, { signal }), signal) })
 }
@@ -329,14 +329,14 @@
 async function * pausingBody (parts: string[], pause: () => Promise<void>, signal: AbortSignal): AsyncGenerator<Uint8Array> {
   for (const [i, part] of parts.entries()) {
     if (i > 0) await pause()
-    if (signal.aborted) throw new UpstreamError('given up', { mayHaveRun: true, unreachable: true })
+    if (signal.aborted) throw new UpstreamError('aborted', { mayHaveRun: true, unreachable: true })
     yield Buffer.from(part)
   }
 }
 
 async function * bodyUnlessAborted (parts: string[], signal: AbortSignal): AsyncGenerator<Uint8Array> {
   for (const part of parts) {
-    if (signal.aborted) throw new UpstreamError('given up', { mayHaveRun: true, unreachable: true })
+    if (signal.aborted) throw new UpstreamError('aborted', { mayHaveRun: true, unreachable: true })
     yield Buffer.from(part)
   }
 }
--- a/request/relay/test/accounts.ts
+++ b/request/relay/test/accounts.ts
@@ -4,7 +4,7 @@
 import test from 'ava'
 import { answers, aborts, createRelay, RecordingCaller, refuses, requestTo } from './__utils__/createRelay.js'
 
-/** Takes everything in for one account, or refuses it. */
+/** Admits every request for one account, or refuses it. */
 class RecordingAdmission implements BoxAdmission {
   readonly usesAccounts = true
   readonly isProved = true
@@ -19,7 +19,7 @@
   }
 }
 
-test('upstreams are told the account on each try', async (t) => {
+test('every attempt sends the account to the upstream', async (t) => {
   const admission = new RecordingAdmission()
   const { clock, relay, upstreams } = createRelay([refuses(), answers(200, 'script')], { admission })
   await clock.run(relay.relay(requestTo('/fetch/1'), new RecordingCaller()))
@@ -27,7 +27,7 @@
   t.is(admission.refundCount, 0)
 })
 
-test('a stream that goes on elsewhere goes on for its account, with its urgency', async (t) => {
+test('a stream that is resumed elsewhere keeps its account and urgency', async (t) => {
   const admission = new RecordingAdmission()
   const { clock, relay, upstreams, placer } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { admission })
   await clock.run(relay.relay(requestTo('/reply/1'), new RecordingCaller()))
@@ -35,7 +35,7 @@
   t.true(placer.requests.every(({ priority }) => priority === 0))
 })
 
-test('a request is decided on before anything else is spent on it', async (t) => {
+test('admission is decided before a request is placed or sent', async (t) => {
   const admission = new RecordingAdmission()
   admission.refusal = new ReelspanError(ErrorCode.AccountKey, 'no client account has this key')
   const { clock, relay, upstreams, placer } = createRelay([], { admission })
@@ -46,7 +46,7 @@
   t.like(admission.requests[0], { keyDigest: 'd', sizeTokens: 1100, open: false })
 })
 
-test('what has not run is given back to its account', async (t) => {
+test('the account is refunded for a request that has not run', async (t) => {
   const admission = new RecordingAdmission()
   const { clock, relay, placer } = createRelay([], { admission })
   placer.refusal = { outcome: PlacementOutcome.Refused, reason: 'full', retryAfterMs: 100 }
--- a/request/relay/test/eventProgress.ts
+++ b/request/relay/test/eventProgress.ts
@@ -4,7 +4,7 @@
 
 const STREAM = 'id: 0\ndata: a\n\nid: 1\r\ndata: b\r\n\r\nx-versions: 2\nid: 2\ndata: c\n\n'
 
-test('events are whole however the bytes are cut', (t) => {
+test('events are complete however the bytes are split', (t) => {
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: STREAM.length - 1 }), { maxLength: 8 }), (cuts) => {
     const progress = new EventProgress()
     const places = [0, ...[...new Set(cuts)].sort((a, b) => a - b), STREAM.length]
@@ -15,7 +15,7 @@
   }), { seed: 11 })
 })
 
-test('a part of an event is kept back until it is whole or given up', (t) => {
+test('a partial event is buffered until it is complete or flushed', (t) => {
   const progress = new EventProgress()
   t.is(Buffer.from(progress.push(Buffer.from('id: 0\ndata: a\n\nid: 1\nda'))).toString(), 'id: 0\ndata: a\n\n')
   t.is(progress.lastId, '0')
--- a/request/relay/test/quarantine.ts
+++ b/request/relay/test/quarantine.ts
@@ -6,12 +6,12 @@
 
 type TestRelay = ReturnType<typeof createRelay>
 
-/** Upstreams have ended under a request, one after the other, as other boxes tell. */
+/** Records that upstreams exited one after another while running a request. */
 function recordUpstreamExits ({ quarantine }: TestRelay, path: string, times = 3): void {
   Array.from({ length: times }, (_, i) => quarantine.noteUpstreamEnded(identityOfRelayed(requestTo(path)), `e${i}`, { ageMs: 100 * (times - i), ranMs: 50 }))
 }
 
-test('a request that ended three upstreams is refused at once and sent nowhere, others are served', async (t) => {
+test('a request during which three upstreams exited is refused at once and not sent, others are served', async (t) => {
   for (const path of ['/draft/1', '/reply/1', '/fetch/1', '/status/1']) {
     const relay = createRelay([answers(200, 'id: 0\ndata: a\n\n')])
     recordUpstreamExits(relay, path)
@@ -24,7 +24,7 @@
   }
 })
 
-test('a request that waits for a place is refused as soon as it is known to end upstreams', async (t) => {
+test('a request that waits for a placement is refused as soon as it is quarantined', async (t) => {
   const relay = createRelay([])
   relay.placer.answers = relay.clock.sleep(5000)
   const caller = new RecordingCaller()
@@ -37,7 +37,7 @@
   t.is(relay.placer.released, relay.placer.placed)
 })
 
-test('a request that becomes known to end upstreams while its prompt is read is not decoded, and its handle is freed', async (t) => {
+test('a request that is quarantined during its prefill is not decoded, and its handle is freed', async (t) => {
   const relay = createRelay([answers(200, 'id: 0\ndata: a\n\n')])
   relay.upstreams.onPrefill = () => recordUpstreamExits(relay, '/draft/1')
   const caller = new RecordingCaller()
@@ -48,7 +48,7 @@
   t.is(relay.upstreams.freed.length, relay.upstreams.prefills.length)
 })
 
-test('a stream that breaks off is not taken up elsewhere once it is known to end upstreams', async (t) => {
+test('an interrupted stream is not resumed elsewhere once it is quarantined', async (t) => {
   const relay = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
   relay.upstreams.onPrefill = () => recordUpstreamExits(relay, '/reply/1', 2)
   relay.probe.ended.add('10.0.1.1:1')
@@ -58,7 +58,7 @@
   t.true(caller.wasCut)
 })
 
-test('an engine that ends while it reads a prompt counts as one that ended under the request', async (t) => {
+test('an engine that exits during a prefill counts as an upstream exit of the request', async (t) => {
   const relay = createRelay([answers(200, 'id: 0\ndata: a\n\n')])
   recordUpstreamExits(relay, '/draft/1', 2)
   relay.upstreams.prefillFailure = new UpstreamError('closed the connection', { mayHaveRun: true, unreachable: true })
@@ -67,7 +67,7 @@
   t.is(relay.quarantine.countQuarantined(), 1)
 })
 
-test('a request that ran to its end is not held for what its upstreams ended for before', async (t) => {
+test('upstream exits before a finished run do not count against the request', async (t) => {
   const relay = createRelay([answers(200, 'status'), answers(200, 'status')])
   recordUpstreamExits(relay, '/status/1', 2)
   await relay.clock.run(relay.relay.relay(requestTo('/status/1'), new RecordingCaller()))
--- a/request/relay/test/relay.ts
+++ b/request/relay/test/relay.ts
@@ -9,7 +9,7 @@
   engines.filter((engine) => engine.name === name).forEach((engine) => { engine.leaving = true })
 }
 
-test('an answer is passed on whole', async (t) => {
+test('an answer is passed on completely', async (t) => {
   const { clock, relay } = createRelay([answers(200, 'script')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
@@ -18,7 +18,7 @@
   t.true(caller.whole)
 })
 
-test('a fault of the program while a deadline is watched is told of', async (t) => {
+test('an unexpected error in the deadline task is reported', async (t) => {
   const errors: unknown[] = []
   const fault = new TypeError('x is not a function')
   const { clock, relay } = createRelay([answersAfter(800, 200, 'script')], { onTaskError: (error) => { errors.push(error) } })
@@ -28,7 +28,7 @@
   t.deepEqual(errors, [fault])
 })
 
-test('a request that may not be repeated is sent once when it may have run', async (t) => {
+test('a non-repeatable request that may have run is not sent again', async (t) => {
   const { clock, relay, upstreams } = createRelay([fails({ mayHaveRun: true })])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
@@ -36,7 +36,7 @@
   t.is(caller.refused?.verdict, Verdict.MayHaveRun)
 })
 
-test('a request that an upstream refused unrun is sent to another one', async (t) => {
+test('a request that an upstream refused without running it is sent to another one', async (t) => {
   const { clock, relay, upstreams } = createRelay([refuses(), answers(200, 'script')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
@@ -44,7 +44,7 @@
   t.true(caller.whole)
 })
 
-test('a request that no upstream ran is refused as not run, with a time to return', async (t) => {
+test('a request that no upstream ran is refused as not run, with a retry delay', async (t) => {
   const { clock, relay } = createRelay([refuses(), refuses(), refuses()])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
@@ -61,7 +61,7 @@
   t.is(caller.body, 'oops again')
 })
 
-test('an upstream\'s failure is passed on when nothing may be repeated', async (t) => {
+test('an upstream\'s failure is passed on if the request is not repeatable', async (t) => {
   const { clock, relay, upstreams } = createRelay([answers(500, 'oops')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
@@ -70,7 +70,7 @@
   t.true(caller.whole)
 })
 
-test('without budget nothing is sent twice', async (t) => {
+test('nothing is retried without retry budget', async (t) => {
   const { clock, relay, upstreams } = createRelay([answers(500, 'oops'), answers(500, 'oops'), answers(500, 'oops')], { retryBurst: 1 })
   const callers = [new RecordingCaller(), new RecordingCaller()]
   await clock.run(relay.relay(requestTo('/status/1'), callers[0]))
@@ -79,7 +79,7 @@
   t.is(callers[1].status, 500)
 })
 
-test('a repeatable request leaves an upstream that is silent for another one', async (t) => {
+test('a repeatable request moves from an unresponsive upstream to another one', async (t) => {
   const { clock, relay, upstreams } = createRelay([hangs(), answers(200, 'status')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/status/1'), caller))
@@ -87,7 +87,7 @@
   t.is(caller.body, 'status')
 })
 
-test('a late answer is passed on when there is no other upstream that could answer sooner', async (t) => {
+test('a late answer is passed on if there is no other upstream', async (t) => {
   const { clock, relay, upstreams } = createRelay([answersAfter(1500, 200, 'status')], { services: ['s1'] })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/status/1'), caller))
@@ -96,7 +96,7 @@
   t.true(caller.whole)
 })
 
-test('a late answer is passed on when nothing may be sent twice any more', async (t) => {
+test('a late answer is passed on if the retry budget is exhausted', async (t) => {
   const { clock, relay, upstreams } = createRelay([answers(500, 'oops'), answers(200, 'status'), answersAfter(1500, 200, 'late status')], { retryBurst: 1 })
   await clock.run(relay.relay(requestTo('/status/1'), new RecordingCaller()))
   const caller = new RecordingCaller()
@@ -105,7 +105,7 @@
   t.is(caller.body, 'late status')
 })
 
-test('a late answer of the last upstream that may be asked is passed on while its caller waits', async (t) => {
+test('a late answer of the last permitted attempt is passed on while its caller waits', async (t) => {
   const { clock, relay, upstreams } = createRelay([hangs(), answersAfter(1000, 200, 'late status')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/status/1'), caller))
@@ -122,7 +122,7 @@
   t.true(caller.whole)
 })
 
-test('a late answer that may be resumed elsewhere is waited for when nothing may be sent twice any more', async (t) => {
+test('a late resumable answer is waited for if the retry budget is exhausted', async (t) => {
   const { clock, relay, upstreams } = createRelay([answers(500, 'oops'), answers(200, 'status'), answersAfter(5000, 200, 'id: 0\ndata: a\n\n')], { retryBurst: 1 })
   await clock.run(relay.relay(requestTo('/reply/1'), new RecordingCaller()))
   const caller = new RecordingCaller()
@@ -131,7 +131,7 @@
   t.is(caller.body, 'id: 0\ndata: a\n\n')
 })
 
-test('a stream goes on at its engine when nothing may be sent twice any more by the time it pauses', async (t) => {
+test('a stalled stream stays at its engine if the retry budget is exhausted', async (t) => {
   const { clock, relay, upstreams } = createRelay([pauses(200, ['id: 0\ndata: a\n\n', 'id: 1\ndata: b\n\n'], 1000), answers(500, 'oops'), answers(200, 'id: 0\ndata: c\n\n')], { retryBurst: 1 })
   const caller = new RecordingCaller()
   const work = relay.relay(requestTo('/reply/1'), caller)
@@ -143,7 +143,7 @@
   t.true(caller.whole)
 })
 
-test('a request that may not be repeated waits for a silent upstream until its time is over, and is answered then', async (t) => {
+test('a non-repeatable request waits for an unresponsive upstream until its deadline, and is answered then', async (t) => {
   const { clock, relay, upstreams } = createRelay([hangs()])
   const caller = new RecordingCaller()
   const startedAtMs = clock.nowMs()
@@ -154,7 +154,7 @@
   t.is(caller.refused?.verdict, Verdict.MayHaveRun)
 })
 
-test('a caller\'s own deadline counts when it is the sooner one', async (t) => {
+test('the caller\'s deadline applies if it is earlier than that of the route', async (t) => {
   const { clock, relay, upstreams } = createRelay([hangs()])
   const caller = new RecordingCaller()
   const startedAtMs = clock.nowMs()
@@ -163,7 +163,7 @@
   t.is(upstreams.runs[0].opts.deadlineMs, 700)
 })
 
-test('a request whose time ends while it waits for a connection has not run', async (t) => {
+test('a request whose deadline passes while it waits for a connection has not run', async (t) => {
   const { clock, relay, upstreams } = createRelay([])
   upstreams.connects = new Promise(() => {})
   const caller = new RecordingCaller()
@@ -173,7 +173,7 @@
   t.is(caller.refused?.verdict, Verdict.NotRun)
 })
 
-test('a box that has just started keeps requests until it has a configuration', async (t) => {
+test('a box that has just started holds requests until it has a configuration', async (t) => {
   const { clock, relay, upstreams } = createRelay([answers(200, 'script')], { configuredAfterMs: 1500 })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
@@ -181,7 +181,7 @@
   t.is(upstreams.runs[0].opts.deadlineMs, 500, 'of the 2,000 ms of its route')
 })
 
-test('a box that has had no configuration for long refuses requests at once', async (t) => {
+test('a box without a configuration for a long time refuses requests at once', async (t) => {
   const { clock, relay } = createRelay([], { configuredAfterMs: 60_000 })
   const callers = [new RecordingCaller(), new RecordingCaller()]
   const startedAtMs = clock.nowMs()
@@ -193,7 +193,7 @@
   t.deepEqual(callers.map(({ refused }) => [refused?.code, refused?.verdict]), callers.map(() => [ErrorCode.NotReady, Verdict.NotRun]))
 })
 
-test('a caller that leaves while a box waits for its configuration is let go', async (t) => {
+test('a request ends when its caller disconnects while the box waits for its configuration', async (t) => {
   const { clock, relay, upstreams } = createRelay([], { configuredAfterMs: 2000 })
   const caller = new RecordingCaller()
   const work = relay.relay(requestTo('/fetch/1'), caller)
@@ -205,7 +205,7 @@
   t.is(upstreams.runs.length, 0)
 })
 
-test('a caller\'s deadline counts while a box waits for its configuration', async (t) => {
+test('a caller\'s deadline applies while a box waits for its configuration', async (t) => {
   const { clock, relay, upstreams } = createRelay([], { configuredAfterMs: 2000 })
   const caller = new RecordingCaller()
   const startedAtMs = clock.nowMs()
@@ -215,7 +215,7 @@
   t.is(caller.refused?.verdict, Verdict.NotRun)
 })
 
-test('an upstream stops working for a caller that has left', async (t) => {
+test('an upstream call is aborted when the caller disconnects', async (t) => {
   const { clock, relay, upstreams } = createRelay([hangs()])
   const caller = new RecordingCaller()
   const work = relay.relay(requestTo('/fetch/1'), caller)
@@ -226,7 +226,7 @@
   t.is(relay.inFlight, 0)
 })
 
-test('an answer that breaks off is cut for the caller too', async (t) => {
+test('an interrupted answer is aborted for the caller too', async (t) => {
   const { clock, relay } = createRelay([aborts(200, ['half'])])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
@@ -235,7 +235,7 @@
   t.false(caller.whole)
 })
 
-test('there is no answer but «no route» for a path that nothing is declared for', async (t) => {
+test('a path without a declared route is refused with «no route»', async (t) => {
   const { clock, relay, upstreams } = createRelay([])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/elsewhere/1'), caller))
@@ -243,7 +243,7 @@
   t.is(upstreams.runs.length, 0)
 })
 
-test('the scheduler is told how the engines of a placement answered', async (t) => {
+test('the outcomes at the engines of a placement are reported to the scheduler', async (t) => {
   const { clock, relay, placer } = createRelay([fails({ mayHaveRun: true }), answers(200, 'data: line')])
   await clock.run(relay.relay(requestTo('/reply/1'), new RecordingCaller()))
   t.deepEqual(placer.outcomes, [
@@ -266,7 +266,7 @@
   t.is(placer.released, 1)
 })
 
-test('a completion whose decode engine computes the prompt is sent there alone, without a source', async (t) => {
+test('a completion whose decode engine computes the prompt is sent only there, without a prefill source', async (t) => {
   const { clock, relay, upstreams, placer } = createRelay([answers(200, 'data: line\n\n')])
   placer.ownPrefill = true
   const caller = new RecordingCaller()
@@ -275,10 +275,10 @@
   t.deepEqual(upstreams.runs.map(({ instance, opts }) => [instance, opts.source]), [['d1', undefined]])
   t.true(caller.whole)
   t.true(placer.requests[0].allowsOwnPrefill)
-  t.is(placer.prefilled, 1, 'the scheduler is told that the prompt is computed')
+  t.is(placer.prefilled, 1, 'the scheduler is notified that the prompt is computed')
 })
 
-test('a decode engine that computes the prompt first is given that time before it counts as silent', async (t) => {
+test('the idle timeout of a decode engine that computes the prompt includes the time for that', async (t) => {
   const { clock, relay, upstreams, placer } = createRelay([answersAfter(300, 200, 'data: line')])
   placer.ownPrefill = true
   const caller = new RecordingCaller()
@@ -287,7 +287,7 @@
   t.true(caller.whole)
 })
 
-test('a completion that finds no place is refused at once with the scheduler\'s time to return', async (t) => {
+test('a completion without a placement is refused at once with the scheduler\'s retry delay', async (t) => {
   const { clock, relay, placer, upstreams } = createRelay([])
   placer.refusal = { outcome: PlacementOutcome.Refused, reason: 'full', retryAfterMs: 640 }
   const caller = new RecordingCaller()
@@ -299,7 +299,7 @@
   t.is(upstreams.prefills.length, 0)
 })
 
-test('what an engine keeps of a prompt is freed when no decode engine takes it', async (t) => {
+test('a prefill handle is freed when no decode engine consumes it', async (t) => {
   const { clock, relay, upstreams, placer } = createRelay([refuses()])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
@@ -308,7 +308,7 @@
   t.is(placer.released, 1)
 })
 
-test('a completion whose prefill failed has not run, and is tried again', async (t) => {
+test('a completion whose prefill failed has not run, and is retried', async (t) => {
   const { clock, relay, upstreams, placer } = createRelay([])
   upstreams.prefillFailure = new UpstreamError('reset', { mayHaveRun: true, unreachable: true })
   const caller = new RecordingCaller()
@@ -318,7 +318,7 @@
   t.is(caller.refused?.verdict, Verdict.NotRun)
 })
 
-test('a retry of a caller is known to the scheduler by the last part of its prompt', async (t) => {
+test('the scheduler recognizes a caller\'s retry by its last prompt prefix', async (t) => {
   const { clock, relay, placer } = createRelay([answers(200, 'a'), answers(200, 'b')])
   await clock.run(relay.relay(requestTo('/draft/1', { id: 'first' }), new RecordingCaller()))
   await clock.run(relay.relay(requestTo('/draft/1', { id: 'second' }), new RecordingCaller()))
@@ -326,7 +326,7 @@
   t.not(placer.requests[0].label.requestId, placer.requests[1].label.requestId)
 })
 
-test('a box that is about to stop refuses new requests unrun', async (t) => {
+test('a draining box refuses new requests as not run', async (t) => {
   const { clock, relay, upstreams } = createRelay([])
   relay.closeForNew()
   const caller = new RecordingCaller()
@@ -336,7 +336,7 @@
   t.is(upstreams.runs.length, 0)
 })
 
-test('a resumable answer that breaks off goes on at another engine behind the last whole event', async (t) => {
+test('an interrupted resumable answer continues at another engine behind the last complete event', async (t) => {
   const { clock, relay, upstreams } = createRelay([
     aborts(200, ['id: 0\ndata: a\n\nid: 1\nda', 'ta: b\n\nid: 2\ndat']),
     answers(200, 'id: 2\ndata: c\n\n'),
@@ -349,7 +349,7 @@
   t.not(upstreams.runs[1].instance, upstreams.runs[0].instance)
 })
 
-test('a resumable answer that breaks off goes on at its engine, which has kept the prompt', async (t) => {
+test('an interrupted resumable answer continues at its engine, which still has the prompt cached', async (t) => {
   const { clock, relay, upstreams, placer } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
@@ -360,7 +360,7 @@
   t.is(placer.released, 1)
 })
 
-test('an engine that breaks off twice is left for another one', async (t) => {
+test('a stream moves to another engine after two interruptions at one engine', async (t) => {
   const { clock, relay, upstreams } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), aborts(200, []), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
@@ -368,7 +368,7 @@
   t.true(caller.whole)
 })
 
-test('an engine that cannot have the KV cache is asked to compute the prompt itself, also where a request may run once', async (t) => {
+test('an engine that cannot fetch the KV cache is asked to compute the prompt itself, also for a non-repeatable request', async (t) => {
   const { clock, relay, upstreams } = createRelay([refuses(), answers(200, 'data: line\n\n')], { computesPrompts: true })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
@@ -376,7 +376,7 @@
   t.true(caller.whole)
 })
 
-test('an answer that may not be resumed is not asked for again where it broke off', async (t) => {
+test('a non-resumable answer is not requested again from the engine that interrupted it', async (t) => {
   const { clock, relay, upstreams } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')], { computesPrompts: true })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
@@ -384,7 +384,7 @@
   t.true(caller.wasCut)
 })
 
-test('a request that may run once is not asked for again at an engine that may have run it', async (t) => {
+test('a non-repeatable request is not sent again to an engine that may have run it', async (t) => {
   const { clock, relay, upstreams } = createRelay([fails({ mayHaveRun: true }), answers(200, 'data: line\n\n')], { computesPrompts: true })
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
@@ -392,7 +392,7 @@
   t.is(caller.refused?.verdict, Verdict.MayHaveRun)
 })
 
-test('without budget an engine whose answer broke off is not asked again', async (t) => {
+test('an engine whose answer was interrupted is not asked again without retry budget', async (t) => {
   const cut = aborts(200, ['id: 0\ndata: a\n\n'])
   const { clock, relay, upstreams } = createRelay([cut, answers(200, 'id: 1\ndata: b\n\n'), cut], { computesPrompts: true, retryBurst: 1 })
   const callers = [new RecordingCaller(), new RecordingCaller()]
@@ -403,10 +403,10 @@
   t.true(callers[1].wasCut)
 })
 
-test('a prompt is read again only for an answer that can still be whole in time', async (t) => {
+test('a prompt is computed again only for an answer that can still be complete in time', async (t) => {
   const { clock, relay, placer } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(200, 'id: 1\ndata: b\n\n')])
   const request = requestTo('/reply/1')
-  // The model takes at least 4 ms a token, and the route's time is 10,000 ms.
+  // The model takes at least 4 ms per token, and the deadline of the route is 10,000 ms.
   const prompt = { ...request.prompt, model: 'm', promptTokens: 1000, maxTokens: 4000, prefixes: [], expectedTokens: 2400 }
   await clock.run(relay.relay({ ...request, prompt }, new RecordingCaller()))
   const [first, again] = placer.requests
@@ -415,7 +415,7 @@
   t.true(again.patienceMs !== undefined && again.patienceMs <= 400 + 4, `${again.patienceMs} ms`)
 })
 
-test('an answer that may not be resumed is cut where it broke off', async (t) => {
+test('a non-resumable answer is aborted where it was interrupted', async (t) => {
   const { clock, relay, upstreams } = createRelay([aborts(200, ['id: 0\ndata: a\n\nid: 1\nda'])])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
@@ -424,7 +424,7 @@
   t.is(upstreams.runs.length, 1)
 })
 
-test('an answer that has begun is not mixed with another engine\'s failure', async (t) => {
+test('an answer that has begun is not continued with another engine\'s failure response', async (t) => {
   const { clock, relay } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), answers(500, 'oops')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
@@ -432,7 +432,7 @@
   t.true(caller.wasCut)
 })
 
-test('a prefill whose answer does not come is given up, and another engine reads the prompt', async (t) => {
+test('a prefill without an answer is aborted, and the request is placed without its engine', async (t) => {
   const { clock, relay, upstreams, placer } = createRelay([answers(200, 'data: line\n\n')])
   upstreams.prefillHangs = true
   const caller = new RecordingCaller()
@@ -446,7 +446,7 @@
   t.true(placer.requests[1].avoid.includes('p1'))
 })
 
-test('a resumable stream that falls silent goes on at another engine', async (t) => {
+test('a resumable stream that stalls continues at another engine', async (t) => {
   const { clock, relay, upstreams } = createRelay([stalls(200, 'id: 0\ndata: a\n\n'), answers(200, 'id: 1\ndata: b\n\n')])
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
@@ -455,7 +455,7 @@
   t.true(upstreams.runs[0].opts.signal.aborted)
 })
 
-test('an engine is not given up for a caller that is slow to read', async (t) => {
+test('a caller that reads slowly does not cause its engine to be abandoned', async (t) => {
   const { clock, relay, upstreams, placer } = createRelay([endsUnlessAborted(200, ['id: 0\ndata: a\n\n', 'id: 1\ndata: b\n\n'])])
   const caller = new RecordingCaller()
   caller.stopsReading = true
@@ -469,7 +469,7 @@
   t.false(placer.outcomes.some(({ outcome }) => outcome !== UpstreamOutcome.Answered))
 })
 
-test('an engine that falls silent behind a caller that is slow to read is given up once the caller reads', async (t) => {
+test('an engine that stalled while the caller did not read is abandoned once the caller reads', async (t) => {
   const { clock, relay, upstreams } = createRelay([stalls(200, 'id: 0\ndata: a\n\n'), answers(200, 'id: 1\ndata: b\n\n')])
   const caller = new RecordingCaller()
   caller.stopsReading = true
@@ -482,7 +482,7 @@
   t.true(caller.whole)
 })
 
-test('a stream that may not be resumed is waited for while its caller waits', async (t) => {
+test('a non-resumable stream that stalls is kept while its caller waits', async (t) => {
   const { clock, relay, upstreams } = createRelay([stalls(200, 'id: 0\ndata: a\n\n')])
   const caller = new RecordingCaller()
   const work = relay.relay(requestTo('/draft/1'), caller)
@@ -493,7 +493,7 @@
   t.true(upstreams.runs[0].opts.signal.aborted)
 })
 
-test('an engine that leaves after the request was placed there gets no prompt', async (t) => {
+test('an engine that drains after the placement does not get the request', async (t) => {
   const { clock, relay, upstreams, engines } = createRelay([answers(200, 'data: line\n\n')])
   startDraining(engines, 'd1')
   const caller = new RecordingCaller()
@@ -503,7 +503,7 @@
   t.true(caller.whole)
 })
 
-test('an engine that leaves while the prompt is read elsewhere does not get the request', async (t) => {
+test('a decode engine that drains during the prefill does not get the request', async (t) => {
   const { clock, relay, upstreams, engines } = createRelay([answers(200, 'data: line\n\n')])
   upstreams.onPrefill = () => { startDraining(engines, 'd1') }
   const caller = new RecordingCaller()
@@ -512,17 +512,17 @@
   t.deepEqual(upstreams.freed, [{ address: '10.0.0.1:1', handle: 'handle-1' }])
 })
 
-test('a stream that may be sent to one engine, and could not be sent to it, goes to another one', async (t) => {
+test('a stream limited to one attempt goes to another engine if the connection to the first failed', async (t) => {
   const { clock, relay, upstreams } = createRelay([answers(200, 'data: line')])
   upstreams.unreachable.add('d1')
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d2'])
   t.true(caller.whole)
-  t.is(upstreams.freed.length, 1, 'the prompt that was read for the first one is given back')
+  t.is(upstreams.freed.length, 1, 'the handle of the first prefill is freed')
 })
 
-test('a stream that was sent to the one engine that it may be sent to is not sent to another', async (t) => {
+test('a stream limited to one attempt is not sent to another engine after it was sent to one', async (t) => {
   const { clock, relay, upstreams } = createRelay([refuses()])
   upstreams.unreachable.add('d1')
   const caller = new RecordingCaller()
@@ -531,14 +531,14 @@
   t.is(caller.refused?.verdict, Verdict.NotRun)
 })
 
-test('a call goes past an upstream of which other boxes agree that it closes connections without an answer', async (t) => {
+test('a call avoids an upstream that several boxes reported for closing connections without an answer', async (t) => {
   const { clock, relay, upstreams, reports } = createRelay(Array.from({ length: 20 }, () => answers(200, 'script')))
   ;['box-1', 'box-2'].forEach((box) => reports.add({ id: box, upstream: 's1', box, ageMs: 0 }))
   for (let i = 0; i < 20; i++) await clock.run(relay.relay(requestTo('/fetch/1'), new RecordingCaller()))
   t.false(upstreams.runs.some(({ instance }) => instance === 's1'))
 })
 
-test('a call whose connection was closed without an answer is reported, and one that failed is not', async (t) => {
+test('a call whose connection was closed without an answer is reported, and a failure response is not', async (t) => {
   const { clock, relay, upstreams, closedUnanswered } = createRelay([fails({ mayHaveRun: true, unreachable: true }), answers(500, 'oops')])
   await clock.run(relay.relay(requestTo('/fetch/1'), new RecordingCaller()))
   await clock.run(relay.relay(requestTo('/fetch/1'), new RecordingCaller()))
--- a/request/relay/test/requestEnded.ts
+++ b/request/relay/test/requestEnded.ts
@@ -6,19 +6,19 @@
   return log.entries.find(({ event }) => event === LogEvent.RequestEnded)?.fields
 }
 
-test('the line of a request that ended says what its route wants, and the status that was passed on', async (t) => {
+test('the log line of an ended request has the targets of its route and the status that was passed on', async (t) => {
   const relay = createRelay([answers(500, 'oops')])
   await relay.clock.run(relay.relay.relay(requestTo('/fetch/1'), new RecordingCaller()))
   t.like(endedLogFields(relay), { route: 'fetch', kind: 'call', ttftTargetMs: 200, tbtTargetMs: undefined, status: 500 })
 })
 
-test('the line of a request that ended says when an upstream was last sent it', async (t) => {
+test('the log line of an ended request has the time at which it was last sent to an upstream', async (t) => {
   const relay = createRelay([hangs(), answers(200, 'state')])
   await relay.clock.run(relay.relay.relay(requestTo('/status/1'), new RecordingCaller()))
   t.like(endedLogFields(relay), { kind: 'repeatableCall', lastSentMs: 300, status: 200 })
 })
 
-test('the line of a request that no upstream was sent does not say that one was', async (t) => {
+test('the log line of a request that was never sent has no time of sending and no status', async (t) => {
   const relay = createRelay([])
   relay.relay.closeForNew()
   await relay.clock.run(relay.relay.relay(requestTo('/reply/1'), new RecordingCaller()))
@@ -28,7 +28,7 @@
   t.is(end?.status, undefined)
 })
 
-test('tries of one prompt have the same hash in their lines, and no part of the prompt', async (t) => {
+test('the log lines of attempts with one prompt have the same hash and no part of the prompt', async (t) => {
   const relay = createRelay([])
   relay.relay.closeForNew()
   const prompt = { model: 'm', promptTokens: 30, maxTokens: 10, prefixes: [{ digest: 'shared', tokens: 10 }, { digest: 'own-part', tokens: 30 }] }
@@ -41,7 +41,7 @@
   t.notRegex(first, /own-part|undefined/)
 })
 
-test('a run that broke off is told of, with what its attempts have in common', async (t) => {
+test('an interrupted run is logged with the identity hash that its attempts share', async (t) => {
   const { clock, relay, probe, log } = createRelay([aborts(200, ['id: 0\ndata: a\n\n']), aborts(200, [])])
   probe.ended.add('10.0.1.1:1')
   await clock.run(relay.relay(requestTo('/draft/1', { id: 'first' }), new RecordingCaller()))
@@ -52,7 +52,7 @@
   t.is(interruptions[0]?.contentHash, interruptions[1]?.contentHash)
 })
 
-test('a run that was ended here, or never sent, is not told of as broken off', async (t) => {
+test('a run that was cancelled locally or never sent is not logged as interrupted', async (t) => {
   const { clock, relay, log } = createRelay([hangs(), refuses(), refuses(), refuses()])
   const caller = new RecordingCaller()
   const ended = relay.relay(requestTo('/draft/1'), caller)
--- a/request/relay/test/runDurations.ts
+++ b/request/relay/test/runDurations.ts
@@ -1,7 +1,7 @@
 import { RunDurations } from '@reelspan/request.relay'
 import test from 'ava'
 
-test('the longest of the last runs of a kind counts, with a margin, once enough have ended', (t) => {
+test('the estimate is the longest recent run of a kind times a safety factor, once enough runs have ended', (t) => {
   const times = new RunDurations()
   Array.from({ length: 7 }, () => times.record('a', 100))
   t.is(times.expectedMaxMs('a'), undefined)
@@ -11,7 +11,7 @@
   t.is(times.expectedMaxMs('a'), 250)
 })
 
-test('kinds that no longer run are forgotten', (t) => {
+test('kinds that no longer run are evicted', (t) => {
   const times = new RunDurations()
   Array.from({ length: 8 }, () => times.record('old', 100))
   Array.from({ length: 4000 }, (_, i) => times.record(`route-${i}`, 100))
--- a/request/relay/test/upstreamLimits.ts
+++ b/request/relay/test/upstreamLimits.ts
@@ -5,12 +5,12 @@
 import test from 'ava'
 import { answers, answersAfter, createRelay, RecordingCaller, requestTo } from './__utils__/createRelay.js'
 
-/** Upstreams take one request in ten seconds, the first one now. */
+/** Limits upstreams to one request in ten seconds, with the first one available now. */
 function limit (upstreamStates: UpstreamStates, upstreams: readonly string[]): void {
   upstreams.forEach((upstream) => upstreamStates.observe(upstream, { succeeded: true, rateLimit: { perSecond: 0.1, text: '0.1' } }, 0))
 }
 
-test('an upstream at its limit is passed over, which is no attempt, and what none takes is refused unrun with a time to return', async (t) => {
+test('an upstream at its limit is skipped without counting as an attempt, and a request that none accepts is refused as not run with a retry delay', async (t) => {
   const { clock, relay, upstreams, upstreamStates, log } = createRelay(Array.from({ length: 3 }, () => answers(200, 'script')))
   limit(upstreamStates, ['s1', 's2', 's3'])
   const callers = [0, 1, 2, 3].map(() => new RecordingCaller())
@@ -23,7 +23,7 @@
   t.true(log.entries.some(({ event, fields }) => event === LogEvent.UpstreamsAtLimit && fields?.retryAfterMs !== undefined))
 })
 
-test('callers that are refused one after the other are told to come back one after the other', async (t) => {
+test('callers that are refused one after another get successive retry times', async (t) => {
   const { clock, relay, upstreamStates } = createRelay([answers(200, 'script')], { services: ['s1'] })
   limit(upstreamStates, ['s1'])
   const callers = [0, 1, 2].map(() => new RecordingCaller())
@@ -32,7 +32,7 @@
   t.true(second - first >= 9000, `${first} and ${second}`)
 })
 
-test('a permit of a request that was not sent is given back', async (t) => {
+test('the permit of a request that was not sent is released', async (t) => {
   const { clock, relay, upstreams, upstreamStates } = createRelay([answers(200, 'script')], { services: ['s1'] })
   limit(upstreamStates, ['s1'])
   upstreams.unreachable.add('s1')
@@ -43,7 +43,7 @@
   t.true(caller.whole)
 })
 
-test('a failure is passed on where no other upstream takes the request', async (t) => {
+test('a failure response is passed on if no other upstream accepts the request', async (t) => {
   const { clock, relay, upstreams, upstreamStates } = createRelay([answers(200, 'one'), answers(500, 'oops')], { services: ['s1', 's2'] })
   limit(upstreamStates, ['s1', 's2'])
   await clock.run(relay.relay(requestTo('/status/1'), new RecordingCaller()))
@@ -55,7 +55,7 @@
   t.is(caller.body, 'oops')
 })
 
-test('a silent upstream is waited for where no other takes the request', async (t) => {
+test('an unresponsive upstream is not abandoned if no other accepts the request', async (t) => {
   const { clock, relay, upstreams, upstreamStates } = createRelay([answers(200, 'one'), answersAfter(1500, 200, 'late')], { services: ['s1', 's2'] })
   limit(upstreamStates, ['s1', 's2'])
   await clock.run(relay.relay(requestTo('/status/1'), new RecordingCaller()))
@@ -65,7 +65,7 @@
   t.is(caller.body, 'late')
 })
 
-test('a stream is placed again without an engine at its limit, and nothing of it is sent there', async (t) => {
+test('a stream is placed again without an engine at its limit, and nothing is sent to that engine', async (t) => {
   const { clock, relay, upstreams, placer, upstreamStates } = createRelay([answers(200, 'data: 1\n\n')])
   limit(upstreamStates, ['d1', 'p1'])
   const caller = new RecordingCaller()
@@ -83,7 +83,7 @@
   t.deepEqual(again.refused, undefined)
 })
 
-test('a stream that no engine takes is refused unrun, with the time until one does', async (t) => {
+test('a stream that no engine accepts is refused as not run, with the time until one does', async (t) => {
   const { clock, relay, upstreams, placer, upstreamStates } = createRelay([answers(200, 'data: 1\n\n')])
   limit(upstreamStates, ['p1'])
   await clock.run(relay.relay(requestTo('/draft/1'), new RecordingCaller()))
--- a/request/relay/test/upstreamPicker.ts
+++ b/request/relay/test/upstreamPicker.ts
@@ -24,7 +24,7 @@
   t.is(picker.pick(LISTED, NONE)?.name, 'a1')
 })
 
-test('a call goes to another zone when two of this box are under way in its own', (t) => {
+test('a call goes to another zone when this box has two in flight in its own', (t) => {
   const { picker } = createPicker()
   picker.recordStart('a1')
   t.is(picker.pick(LISTED, NONE)?.name, 'a1')
@@ -34,7 +34,7 @@
   t.is(picker.pick(LISTED, NONE)?.name, 'a1')
 })
 
-test('an upstream whose calls take long, or that turns calls away, is left for others until that was some seconds ago', async (t) => {
+test('an upstream with slow or refused calls is avoided for some seconds', async (t) => {
   const { clock, picker } = createPicker()
   for (let i = 0; i < 5; i++) {
     picker.recordLatency('a1', 300)
@@ -46,7 +46,7 @@
   t.is(picker.pick(LISTED, NONE)?.name, 'a1')
 })
 
-test('the noise of few calls sends none to another zone', (t) => {
+test('noise in few samples sends no calls to another zone', (t) => {
   const { picker } = createPicker()
   const random = new SeededRandom(4)
   const names = ['a1', 'b1', 'c1']
@@ -54,13 +54,13 @@
   t.is(picker.pick(LISTED, NONE)?.name, 'a1')
 })
 
-test('who failed the request before is asked only when there is no other', (t) => {
+test('an upstream that failed the request before is not picked again', (t) => {
   const { picker } = createPicker()
   t.not(picker.pick(LISTED, new Set(['a1']))?.name, 'a1')
   t.is(picker.pick(LISTED.slice(0, 1), new Set(['a1'])), undefined)
 })
 
-test('an upstream that started again is not held for how long calls took before, nor for those that are under way there', async (t) => {
+test('a restarted upstream does not inherit the latency or the calls in flight of its earlier instance', async (t) => {
   const { clock, picker } = createPicker()
   for (let i = 0; i < 5; i++) {
     picker.recordLatency('a1@1000', 900)
@@ -74,7 +74,7 @@
   t.is(picker.inFlightAt('a1@2000'), 0)
   const withUnknown = [upstream('a2', 'a'), upstream('b1', 'b'), upstream('c1', 'c')]
   t.is(picker.pick(restarted, NONE)?.name === 'a1@2000', picker.pick(withUnknown, NONE)?.name === 'a2')
-  // What an upstream that was never seen is taken for, the mean of all calls, is what all come back to.
+  // An unknown upstream is expected to have the mean latency of all calls, to which all estimates decay.
   await clock.advance(20_000)
   t.is(picker.pick(restarted, NONE)?.name, 'a1@2000')
   Array.from({ length: 5 }, () => picker.recordEnd('a1@1000'))
--- a/request/relay/test/upstreamSignals.ts
+++ b/request/relay/test/upstreamSignals.ts
@@ -3,7 +3,7 @@
 import test from 'ava'
 import { answers, createRelay, RecordingCaller, refuses, requestTo } from './__utils__/createRelay.js'
 
-test('a decode engine that asks for a wait while the prompt is read is not sent it, and the handle is freed', async (t) => {
+test('a decode engine that requests a backoff during the prefill is not sent the request, and the handle is freed', async (t) => {
   const { clock, relay, upstreams, placer, backoffs } = createRelay([answers(200, 'id: 0\ndata: 1\n\n')])
   upstreams.onPrefill = () => backoffs.start('d1', 3000)
   const caller = new RecordingCaller()
@@ -14,7 +14,7 @@
   t.true(caller.whole)
 })
 
-test('a decode engine that refuses with a wait is not asked once more to compute the prompt itself', async (t) => {
+test('a decode engine that refuses with a backoff is not asked again to compute the prompt itself', async (t) => {
   const { clock, relay, upstreams, signals } = createRelay([async (opts) => {
     signals.observe('d1', { succeeded: false, backoff: { durationMs: 3000, text: '3' } }, 0)
     return refuses()(opts)
@@ -24,7 +24,7 @@
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d1', 'd2'])
 })
 
-test('placements avoid the engines that asked this box for a wait, and no others', async (t) => {
+test('placements avoid exactly the engines that asked this box to back off', async (t) => {
   const { clock, relay, placer, backoffs } = createRelay([answers(200, 'data: 1\n\n'), answers(200, 'data: 1\n\n')])
   backoffs.start('d3', 3000)
   await clock.run(relay.relay(requestTo('/draft/1'), new RecordingCaller()))
@@ -34,7 +34,7 @@
   t.deepEqual(placer.requests[1].avoid, [])
 })
 
-test('a call goes to another service while one asked for a wait, and no caller waits for it', async (t) => {
+test('calls go to other services during the backoff of one, without waiting', async (t) => {
   const { clock, relay, upstreams, backoffs, log } = createRelay(Array.from({ length: 4 }, () => answers(200, 'one')))
   backoffs.start('s1', 3000)
   const callers = Array.from({ length: 4 }, () => new RecordingCaller())
@@ -44,7 +44,7 @@
   t.false(log.entries.some(({ event }) => event === LogEvent.UpstreamsAtLimit))
 })
 
-test('callers that are refused during a wait return in their order, the first when it ends, the last soon after', async (t) => {
+test('callers that are refused during a backoff get ordered retry times, from its end to soon after', async (t) => {
   const { clock, relay, upstreams, backoffs, log } = createRelay([], { services: ['s1', 's2'] })
   const startMs = clock.nowMs()
   backoffs.start('s1', 2000)
@@ -64,7 +64,7 @@
   t.true(log.entries.some(({ event, fields }) => event === LogEvent.UpstreamsBackingOff && fields?.retryAfterMs !== undefined))
 })
 
-test('a service that refused with a wait gets calls again as soon as it is over', async (t) => {
+test('a service that refused with a backoff gets calls again as soon as it is over', async (t) => {
   const { clock, relay, upstreams, signals } = createRelay([async (opts) => {
     signals.observe('s1', { succeeded: false, backoff: { durationMs: 500, text: '0.5' } }, 0)
     return refuses()(opts)
@@ -77,7 +77,7 @@
   t.true(caller.whole)
 })
 
-test('a refusal names no more than some of the upstreams of a large pool', async (t) => {
+test('a refusal names a bounded number of the upstreams of a large pool', async (t) => {
   const services = Array.from({ length: 3000 }, (_, i) => `s${i}`)
   const { clock, relay, backoffs, log } = createRelay([], { services })
   services.forEach((service) => backoffs.start(service, 2000))
