--- a/request/quarantine/src/interruptedRuns.ts
+++ b/request/quarantine/src/interruptedRuns.ts
@@ -58,7 +58,7 @@
 
   /** Checks the upstream and logs the result. Never rejects. */
   async record (run: InterruptedRun): Promise<void> {
-    const interrupted = { ...run, brokeAtMs: this.#opts.clock.nowMs() }
+    const interrupted: UpstreamExitRun = { ...run, brokeAtMs: this.#opts.clock.nowMs() }
     const presence = await this.#checkUpstream(run.address)
     this.#report(interrupted, presence)
     if (presence === UpstreamPresence.Refuses) this.#opts.onUpstreamEnded(interrupted)
