--- a/request/owner/src/owner.ts
+++ b/request/owner/src/owner.ts
@@ -121,10 +121,10 @@
 
   /** Returns those of an incarnation's requests that still run here. */
   vouch (ownerIncarnation: string, requestIds: readonly string[]): string[] {
-    const live = new Set([...this.#running.values()]
+    const runningIds = new Set([...this.#running.values()]
       .filter(({ incarnation }) => incarnation === ownerIncarnation)
       .map(({ run }) => run.currentRequestId))
-    return requestIds.filter((requestId) => live.has(requestId))
+    return requestIds.filter((requestId) => runningIds.has(requestId))
   }
 
   /** Announces that this box stops after `durationMs`. Accepts only new requests whose deadlines end before. */
--- a/request/quarantine/src/judgeRequest.ts
+++ b/request/quarantine/src/judgeRequest.ts
@@ -23,10 +23,10 @@
  * that caller sends. If copies from several callers make upstreams exit, the content is judged.
  */
 export function judgeRequest (history: RunHistory, { content, caller }: RequestIdentity): readonly PastRun[] {
-  const ofCaller = attributedExits(history, content, sinceLastFinished(history.runsOf(content).filter((run) => run.caller === caller)))
-  if (ofCaller.length > 0) return ofCaller
-  const ofAll = sinceLastFinished(history.runsOf(content))
-  return new Set(ofAll.map((run) => run.caller)).size > 1 ? attributedExits(history, content, ofAll) : []
+  const callerRuns = attributedExits(history, content, sinceLastFinished(history.runsOf(content).filter((run) => run.caller === caller)))
+  if (callerRuns.length > 0) return callerRuns
+  const allRuns = sinceLastFinished(history.runsOf(content))
+  return new Set(allRuns.map((run) => run.caller)).size > 1 ? attributedExits(history, content, allRuns) : []
 }
 
 function attributedExits (history: RunHistory, content: string, exits: readonly PastRun[]): readonly PastRun[] {
--- a/request/quarantine/src/quarantine.ts
+++ b/request/quarantine/src/quarantine.ts
@@ -73,17 +73,17 @@
 
   /** Called when events of this or another box were added to the history. */
   noteAdded (events: readonly RunEvent[]): void {
-    const before = this.#logged.size
+    const countBefore = this.#logged.size
     events.forEach((event) => this.#logChange(event, this.#quarantiningRuns(event)))
-    if (this.#logged.size > before) this.#listeners.forEach((listener) => listener())
+    if (this.#logged.size > countBefore) this.#listeners.forEach((listener) => listener())
   }
 
   #recordEvent (event: Omit<RunEvent, 'id'>): void {
     const { history, incarnation, onEvent } = this.#opts
-    const named = { ...event, id: `${incarnation()}.${this.#sequence++}` }
-    if (!history.add(named)) return
-    this.noteAdded([named])
-    onEvent(named)
+    const identified = { ...event, id: `${incarnation()}.${this.#sequence++}` }
+    if (!history.add(identified)) return
+    this.noteAdded([identified])
+    onEvent(identified)
   }
 
   #quarantiningRuns (request: RequestIdentity): readonly PastRun[] {
--- a/request/quarantine/src/runHistory.ts
+++ b/request/quarantine/src/runHistory.ts
@@ -93,8 +93,8 @@
 
   /** Evicts a run of the content with the fewest runs; among equals, of the one updated least recently. */
   #evictOne (): void {
-    const fewest = Math.min(...[...this.#byContent.values()].map(({ length }) => length))
-    const [runs] = [...this.#byContent.values()].filter(({ length }) => length === fewest)
+    const minRuns = Math.min(...[...this.#byContent.values()].map(({ length }) => length))
+    const [runs] = [...this.#byContent.values()].filter(({ length }) => length === minRuns)
     this.#remove(runs[0])
   }
 
--- a/request/quarantine/test/interruptedRuns.ts
+++ b/request/quarantine/test/interruptedRuns.ts
@@ -44,15 +44,15 @@
   const metrics = new Metrics()
   const listed: ListedUpstream[] = ['d1', 'd2', 'd3'].map((name, i) => ({ name, kind: UpstreamKind.Engine, address: `10.0.1.${i + 1}:1`, availabilityZone: 'a', pool: 'd', leaving: false }))
   const ended: UpstreamExitRun[] = []
-  const brokenRuns = new BrokenRuns({ clock, probe, log, metrics, fleet: () => new FleetList([], [...listed]), onUpstreamEnded: (run) => ended.push(run) })
+  const interruptedRuns = new BrokenRuns({ clock, probe, log, metrics, fleet: () => new FleetList([], [...listed]), onUpstreamEnded: (run) => ended.push(run) })
   const run = (over: Partial<InterruptedRun> = {}): InterruptedRun => ({ request: 'r1', route: 'draft', identity: { content: 'c', caller: 'w' }, upstream: 'd1', address: '10.0.1.1:1', sentAtMs: clock.nowMs() - 90, reason: 'ended the connection', ...over })
-  return { clock, log, probe, metrics, brokenRuns, run, listed, ended }
+  return { clock, log, probe, metrics, interruptedRuns, run, listed, ended }
 }
 
 test('an interrupted run is logged with its request and whether its upstream has exited', async (t) => {
-  const { clock, log, metrics, brokenRuns, run } = startInterruptedRuns()
-  void brokenRuns.record(run())
-  void brokenRuns.record(run({ request: 'r2', upstream: 'd2', address: '10.0.1.2:1' }))
+  const { clock, log, metrics, interruptedRuns, run } = startInterruptedRuns()
+  void interruptedRuns.record(run())
+  void interruptedRuns.record(run({ request: 'r2', upstream: 'd2', address: '10.0.1.2:1' }))
   await clock.advance(10)
   t.like(log.lines, [
     { event: LogEvent.RunBrokeOff, request: 'r1', upstream: 'd1', presence: UpstreamPresence.Refuses, ranMs: 90, contentHash: 'c', callerHash: 'w' },
@@ -62,32 +62,32 @@
 })
 
 test('an upstream whose runs are interrupted together is probed once', async (t) => {
-  const { clock, log, probe, brokenRuns, run } = startInterruptedRuns()
-  await clock.run(Promise.all(Array.from({ length: 64 }, (_, i) => brokenRuns.record(run({ request: `r${i}` })))))
+  const { clock, log, probe, interruptedRuns, run } = startInterruptedRuns()
+  await clock.run(Promise.all(Array.from({ length: 64 }, (_, i) => interruptedRuns.record(run({ request: `r${i}` })))))
   t.is(probe.checks, 1)
   t.is(log.lines.length, 64)
 })
 
 test('only upstreams whose processes were found to have exited are reported as exited', async (t) => {
-  const { clock, brokenRuns, run, ended } = startInterruptedRuns()
-  await clock.run(Promise.all([brokenRuns.record(run()), brokenRuns.record(run({ upstream: 'd2', address: '10.0.1.2:1' })), brokenRuns.record(run({ upstream: 'd3', address: '10.0.1.3:1' }))]))
+  const { clock, interruptedRuns, run, ended } = startInterruptedRuns()
+  await clock.run(Promise.all([interruptedRuns.record(run()), interruptedRuns.record(run({ upstream: 'd2', address: '10.0.1.2:1' })), interruptedRuns.record(run({ upstream: 'd3', address: '10.0.1.3:1' }))]))
   t.deepEqual(ended.map(({ upstream }) => upstream), ['d1'])
 })
 
 test('an unresponsive upstream counts as exited when it is removed from the list, unless it was draining', async (t) => {
-  const { clock, brokenRuns, run, listed, ended } = startInterruptedRuns()
-  const silent = () => brokenRuns.record(run({ upstream: 'd3', address: '10.0.1.3:1' }))
-  await clock.run(silent())
-  brokenRuns.noteFleet()
+  const { clock, interruptedRuns, run, listed, ended } = startInterruptedRuns()
+  const recordUnresponsive = () => interruptedRuns.record(run({ upstream: 'd3', address: '10.0.1.3:1' }))
+  await clock.run(recordUnresponsive())
+  interruptedRuns.noteFleet()
   t.deepEqual(ended, [])
   const [removed] = listed.splice(2, 1)
-  brokenRuns.noteFleet()
-  brokenRuns.noteFleet()
+  interruptedRuns.noteFleet()
+  interruptedRuns.noteFleet()
   t.deepEqual(ended.map(({ upstream }) => upstream), ['d3'])
   listed.push({ ...removed, leaving: true })
-  await clock.run(silent())
-  brokenRuns.noteFleet()
+  await clock.run(recordUnresponsive())
+  interruptedRuns.noteFleet()
   listed.pop()
-  brokenRuns.noteFleet()
+  interruptedRuns.noteFleet()
   t.is(ended.length, 1)
 })
--- a/request/quarantine/test/judgeRequest.ts
+++ b/request/quarantine/test/judgeRequest.ts
@@ -79,26 +79,26 @@
 })
 
 test('boxes that received the same events in any order, and more than once, have the same state', (t) => {
-  const drawn = fc.array(fc.record({
+  const arbitraryRuns = fc.array(fc.record({
     content: fc.constantFrom('a', 'b', 'c'),
     caller: fc.constantFrom('w', 'x'),
     nth: fc.integer({ min: 0, max: 8 }),
     finished: fc.boolean(),
   }), { maxLength: 15 })
-  fc.assert(fc.property(drawn, fc.infiniteStream(fc.nat()), (runs, order) => {
+  fc.assert(fc.property(arbitraryRuns, fc.infiniteStream(fc.nat()), (runs, order) => {
     const events = runs.map(({ content, caller, nth, finished }, i) => end(content, nth, finished ? { caller, end: RunEnd.Finished, ageMs: i * 500, upstream: undefined } : { caller, ageMs: i * 500 }))
     const keys = new Map(events.map(({ id }) => [id, order.next().value]))
     const shuffled = [...events, ...events.slice(0, 3)].toSorted((a, b) => (keys.get(a.id) ?? 0) - (keys.get(b.id) ?? 0))
     const [one, other] = [historyOf(events), historyOf(shuffled)]
-    const judged = (history: RunHistory) => ['a', 'b', 'c'].flatMap((content) => ['w', 'x'].map((caller) => judgeRequest(history, { content, caller }).map(({ id }) => id)))
-    return one.digest === other.digest && JSON.stringify(judged(one)) === JSON.stringify(judged(other))
+    const results = (history: RunHistory) => ['a', 'b', 'c'].flatMap((content) => ['w', 'x'].map((caller) => judgeRequest(history, { content, caller }).map(({ id }) => id)))
+    return one.digest === other.digest && JSON.stringify(results(one)) === JSON.stringify(results(other))
   }), { seed: 20, numRuns: 500 })
   t.pass()
 })
 
 test('a request with fewer exits than the limit is never quarantined', (t) => {
-  const drawn = fc.array(fc.record({ content: fc.constantFrom('a', 'b', 'c', 'd'), nth: fc.integer({ min: 0, max: 12 }) }), { maxLength: 30 })
-  fc.assert(fc.property(drawn, (runs) => {
+  const arbitraryRuns = fc.array(fc.record({ content: fc.constantFrom('a', 'b', 'c', 'd'), nth: fc.integer({ min: 0, max: 12 }) }), { maxLength: 30 })
+  fc.assert(fc.property(arbitraryRuns, (runs) => {
     const history = historyOf(runs.map(({ content, nth }) => end(content, nth)))
     return ['a', 'b', 'c', 'd'].every((content) => {
       const ends = new Set(runs.filter((run) => run.content === content).map(({ nth }) => nth)).size
--- a/request/relay/src/blockedUpstreams.ts
+++ b/request/relay/src/blockedUpstreams.ts
@@ -48,8 +48,8 @@
   /** Lists the names for a refusal. */
   describe (): string {
     const names = this.names()
-    const more = names.length - MAX_NAMES
-    return `${names.slice(0, MAX_NAMES).join(', ')}${more > 0 ? ` and ${more} more` : ''}`
+    const omittedCount = names.length - MAX_NAMES
+    return `${names.slice(0, MAX_NAMES).join(', ')}${omittedCount > 0 ? ` and ${omittedCount} more` : ''}`
   }
 
   /** Logs that a request was not sent to them, with one line per reason. */
--- a/request/relay/src/completionPlacer.ts
+++ b/request/relay/src/completionPlacer.ts
@@ -114,7 +114,7 @@
     const { promptTokens, maxTokens, prefixes } = this.#prompt
     const deliveredTokens = this.deliveredTokens()
     // The prompt is not computed again if the answer could not be complete in time. A first attempt is never refused because of an estimate.
-    const usefulMs = attempt > 1 ? run.remainingMs - this.#minRemainingDecodeMs(deliveredTokens) : run.remainingMs
+    const availableMs = attempt > 1 ? run.remainingMs - this.#minRemainingDecodeMs(deliveredTokens) : run.remainingMs
     const { peerAddress, incarnation, availabilityZone } = opts.standing()
     const label: HoldLabel = { ownerAddress: peerAddress, ownerIncarnation: incarnation, requestId: `${request.id}.${++this.#placements}`, maxHoldMs: run.remainingMs }
     return {
@@ -127,8 +127,8 @@
       promptTokens: promptTokens + deliveredTokens,
       prefixes: [...prefixes],
       maxTokens: Math.max(1, maxTokens - deliveredTokens),
-      ttftLeftMs: Math.min(usefulMs, caller.begun ? CONTINUE_TIMEOUT_MS : route.spec.ttftTargetMs - run.elapsedMs),
-      patienceMs: Math.min(usefulMs, caller.begun ? CONTINUE_TIMEOUT_MS : MAX_WAIT_TARGETS * route.spec.ttftTargetMs - run.elapsedMs),
+      ttftLeftMs: Math.min(availableMs, caller.begun ? CONTINUE_TIMEOUT_MS : route.spec.ttftTargetMs - run.elapsedMs),
+      patienceMs: Math.min(availableMs, caller.begun ? CONTINUE_TIMEOUT_MS : MAX_WAIT_TARGETS * route.spec.ttftTargetMs - run.elapsedMs),
       tbtTargetMs: route.spec.tbtTargetMs,
       deadlineMs: run.remainingMs,
       allowsOwnPrefill: true,
@@ -138,9 +138,9 @@
   }
 
   /** Minimum decode time of the missing tokens, from the caller's estimate of the answer length. */
-  #minRemainingDecodeMs (doneTokens: number): number {
+  #minRemainingDecodeMs (deliveredTokens: number): number {
     const stepMs = this.#context.opts.configuration().model(this.#model)?.decodeStepBaseMs ?? 0
     const { maxTokens, expectedTokens = 0 } = this.#prompt
-    return Math.max(0, Math.min(expectedTokens, maxTokens) - doneTokens) * stepMs
+    return Math.max(0, Math.min(expectedTokens, maxTokens) - deliveredTokens) * stepMs
   }
 }
--- a/request/relay/src/completionRelay.ts
+++ b/request/relay/src/completionRelay.ts
@@ -131,7 +131,7 @@
   }
 
   /** Runs `work` with a timer that aborts it when no data arrives for `timeoutMs`. */
-  async #withIdleTimer<T> (timeoutMs: number, work: (watch: IdleTimer) => Promise<T>, mayExpire?: () => boolean): Promise<T> {
+  async #withIdleTimer<T> (timeoutMs: number, work: (idleTimer: IdleTimer) => Promise<T>, mayExpire?: () => boolean): Promise<T> {
     const { opts, run } = this.#context
     const idleTimer = new IdleTimer(opts.clock, timeoutMs, run.signal, mayExpire)
     try {
@@ -244,7 +244,7 @@
     }
     placement.progressed(1)
     const onFirst = isOwnPrefill(plan) ? () => placement.prefilled() : undefined
-    await passEvents(this.#context, answer, times, { progress: this.#progress, wholeEvents: route.spec.resumable, idleTimer, onFirst })
+    await passEvents(this.#context, answer, times, { progress: this.#progress, completeEventsOnly: route.spec.resumable, idleTimer, onFirst })
     this.#recordOutcome(plan.decodeEngine, failed ? UpstreamOutcome.Failed : UpstreamOutcome.Answered)
   }
 
--- a/request/relay/src/passEvents.ts
+++ b/request/relay/src/passEvents.ts
@@ -7,7 +7,7 @@
 export interface PassEventsOptions {
   progress: EventProgress
   /** Pass on complete events only, so that another upstream can continue behind the last of them. */
-  wholeEvents: boolean
+  completeEventsOnly: boolean
   /** Aborts the exchange when the upstream sends nothing for too long. */
   idleTimer: IdleTimer
   /** Called when the first event of this answer is complete. */
@@ -20,7 +20,7 @@
  */
 export async function passEvents (context: RelayContext, answer: RelayAnswer, times: AnswerTimes, opts: PassEventsOptions): Promise<void> {
   const { run, caller } = context
-  const { progress, wholeEvents, idleTimer, onFirst } = opts
+  const { progress, completeEventsOnly, idleTimer, onFirst } = opts
   let first = true
   if (!caller.begun) caller.begin(answer.status, answer.headers)
   times.status = answer.status
@@ -33,7 +33,7 @@
         if (first) onFirst?.()
         first = false
       }
-      const passed = wholeEvents ? complete : bytes
+      const passed = completeEventsOnly ? complete : bytes
       // Time that a slow caller takes to read does not count as idle time of the upstream.
       if (passed.byteLength > 0) await idleTimer.pauseDuring(caller.write(passed))
     }
@@ -44,7 +44,7 @@
   }
   run.throwIfEnded()
   const rest = progress.flush()
-  if (wholeEvents && rest.byteLength > 0) await caller.write(rest)
+  if (completeEventsOnly && rest.byteLength > 0) await caller.write(rest)
   times.parts = progress.events
   caller.finish()
   run.finish()
--- a/request/relay/src/permittedPlacement.ts
+++ b/request/relay/src/permittedPlacement.ts
@@ -33,7 +33,7 @@
   const refused = new BlockedUpstreams()
   engines.forEach((engine, i) => {
     const { wait } = acquired[i]
-    if (wait) [refused, blocked].forEach((some) => some.add(engine, wait))
+    if (wait) [refused, blocked].forEach((collection) => collection.add(engine, wait))
   })
   if (refused.size === 0) return { prefill: acquired[0], decode: acquired[acquired.length - 1] }
   releaseAll(placement, acquired)
@@ -49,8 +49,8 @@
 export function noPlacementError ({ opts }: RelayContext, model: string, { reason, retryAfterMs }: PlacementRefusal, blocked: BlockedUpstreams): ReelspanError {
   if (blocked.size === 0) return new ReelspanError(ErrorCode.Overloaded, reason, { retryAfterMs })
   const retryMs = Math.ceil(opts.returnTimes.bookAfter(model, blocked.shortestWaitMs))
-  const why = blocked.allBackingOff ? 'asked this box to back off' : 'accept no more requests at present'
-  return new ReelspanError(blocked.errorCode, `${blocked.describe()} ${why}; ${reason}`, { retryAfterMs: Math.max(retryAfterMs, retryMs) })
+  const cause = blocked.allBackingOff ? 'asked this box to back off' : 'accept no more requests at present'
+  return new ReelspanError(blocked.errorCode, `${blocked.describe()} ${cause}; ${reason}`, { retryAfterMs: Math.max(retryAfterMs, retryMs) })
 }
 
 /** The engines of a plan: a single one if it computes the prompt itself. */
--- a/request/relay/src/relay.ts
+++ b/request/relay/src/relay.ts
@@ -233,9 +233,9 @@
   #pickTarget ({ targets, model, pool }: RouteSpec): Target {
     if (!targets) return { model, pool }
     const total = targets.reduce((sum, { weight }) => sum + weight, 0)
-    const drawn = this.#opts.random.nextFloat() * total
-    const sumUpTo = (last: number) => targets.slice(0, last + 1).reduce((sum, { weight }) => sum + weight, 0)
-    return targets.find((_, i) => drawn < sumUpTo(i)) ?? targets[0]
+    const randomWeight = this.#opts.random.nextFloat() * total
+    const cumulativeWeight = (last: number) => targets.slice(0, last + 1).reduce((sum, { weight }) => sum + weight, 0)
+    return targets.find((_, i) => randomWeight < cumulativeWeight(i)) ?? targets[0]
   }
 
   #budgetOf (pool: string): RetryBudget {
@@ -284,8 +284,8 @@
 
 /** Hash that correlates a caller's attempts, which have different ids. */
 function promptHash ({ prompt }: RelayedRequest): string | undefined {
-  const whole = prompt?.prefixes.at(-1)
-  return whole && hash32(whole.digest).toString(36)
+  const fullPrompt = prompt?.prefixes.at(-1)
+  return fullPrompt && hash32(fullPrompt.digest).toString(36)
 }
 
 function pathOf (target: string): string {
--- a/request/relay/src/upstreamPicker.ts
+++ b/request/relay/src/upstreamPicker.ts
@@ -37,9 +37,9 @@
     const untried = listed.filter(({ name }) => !tried.has(name))
     const healthy = untried.filter(({ name }) => !health.isSuspect(name) && !isFailing(name))
     const candidates = healthy.length > 0 ? healthy : untried
-    const costs = candidates.map((candidate) => this.#expectedMs(candidate))
-    const least = Math.min(...costs)
-    const [picked] = random.sample(candidates.filter((_, i) => costs[i] === least), 1)
+    const expectedMs = candidates.map((candidate) => this.#expectedMs(candidate))
+    const lowestMs = Math.min(...expectedMs)
+    const [picked] = random.sample(candidates.filter((_, i) => expectedMs[i] === lowestMs), 1)
     return picked
   }
 
--- a/request/relay/test/upstreamSignals.ts
+++ b/request/relay/test/upstreamSignals.ts
@@ -49,18 +49,18 @@
   const startMs = clock.nowMs()
   backoffs.start('s1', 2000)
   backoffs.start('s2', 5000)
-  const returnsMs: number[] = []
+  const retryTimesMs: number[] = []
   for (let i = 0; i < 20; i++) {
     const caller = new RecordingCaller()
     await clock.run(relay.relay(requestTo('/fetch/1', { id: `r${i}` }), caller))
     t.like(caller.refused, { verdict: Verdict.NotRun, code: ErrorCode.UpstreamBackoff })
-    returnsMs.push(clock.nowMs() - startMs + (caller.refused?.retryAfterMs ?? 0))
+    retryTimesMs.push(clock.nowMs() - startMs + (caller.refused?.retryAfterMs ?? 0))
     await clock.advance(95)
   }
   t.is(upstreams.runs.length, 0)
-  t.is(returnsMs[0], 2000)
-  t.true(returnsMs.every((atMs, i) => i === 0 || atMs > returnsMs[i - 1]), returnsMs.join())
-  t.true(returnsMs[19] > 2500 && returnsMs[19] <= 3000, `${returnsMs[19]}`)
+  t.is(retryTimesMs[0], 2000)
+  t.true(retryTimesMs.every((atMs, i) => i === 0 || atMs > retryTimesMs[i - 1]), retryTimesMs.join())
+  t.true(retryTimesMs[19] > 2500 && retryTimesMs[19] <= 3000, `${retryTimesMs[19]}`)
   t.true(log.entries.some(({ event, fields }) => event === LogEvent.UpstreamsBackingOff && fields?.retryAfterMs !== undefined))
 })
 
