--- a/request/quarantine/src/interruptedRuns.ts
+++ b/request/quarantine/src/interruptedRuns.ts
@@ -18,7 +18,7 @@
   reason: string
 }
 
-/** An interrupted run whose upstream's process has exited. */
+/** An interrupted run with the time of its interruption. Passed on once its upstream's process is found to have exited. */
 export interface UpstreamExitRun extends InterruptedRun {
   /** When the run was interrupted. */
   brokeAtMs: number
--- a/request/relay/src/completionRelay.ts
+++ b/request/relay/src/completionRelay.ts
@@ -229,7 +229,7 @@
     return resumable && this.#decodeEngines.size < maxAttempts
   }
 
-  /** An answer that has begun can be resumed only behind an event with an id, or if it has no whole event yet. */
+  /** An answer that has begun can be resumed only behind an event with an id, or if it has no complete event yet. */
   #canResume (): boolean {
     return !this.#context.caller.begun || this.#progress.lastId !== undefined || this.#progress.events === 0
   }
