--- a/request/owner/src/serviceRun.ts
+++ b/request/owner/src/serviceRun.ts
@@ -5,7 +5,7 @@
 import { AnswerEventKind, type ServiceRequest } from '@reelspan/core.messages'
 import { type ServiceClient, type ServiceReply, UpstreamError } from '@reelspan/upstream.client'
 import { type BrokenRuns } from '@reelspan/request.quarantine'
-import { noteBreak } from './noteBreak.js'
+import { reportInterruption } from './reportInterruption.js'
 import { type RunContext } from './runContext.js'
 
 export interface ServiceRunOptions {
@@ -14,14 +14,14 @@
   services: ServiceClient
   configuration: () => Configuration
   fleet: () => FleetList
-  /** Told of answers of upstreams that broke off. */
+  /** Records answers of upstreams that were interrupted. */
   brokenRuns: BrokenRuns
 }
 
 const NO_UPSTREAM_RETRY_AFTER_MS = 1000
 const MAX_ATTEMPTS = 4
 
-/** Runs one call to a plain service. */
+/** Runs one call to a service upstream. */
 export class ServiceRun {
   readonly #opts: ServiceRunOptions
   readonly #run: RunContext
@@ -34,7 +34,7 @@
     this.#request = request
   }
 
-  async carryOut (): Promise<void> {
+  async execute (): Promise<void> {
     const { clock } = this.#opts
     for (let attempt = 1; ; attempt++) {
       await this.#run.checkBeforeSend()
@@ -59,26 +59,26 @@
     const call = { requestKey: key, method, path, contentType, body }
     const sentAtMs = clock.nowMs()
     const reply = await this.#run.dispatch(() =>
-      services.call(address, call, { timeoutMs: this.#run.leftMs, signal: this.#run.signal }))
+      services.call(address, call, { timeoutMs: this.#run.remainingMs, signal: this.#run.signal }))
       .catch((thrown: unknown) => {
-        noteBreak(brokenRuns, this.#run, { request: this.#request, upstream: name, address, sentAtMs }, thrown)
+        reportInterruption(brokenRuns, this.#run, { request: this.#request, upstream: name, address, sentAtMs }, thrown)
         throw thrown
       })
-    if (reply.requestKey !== key) throw new UpstreamError(`${name} answered another request`, { mayHaveRun: true })
+    if (reply.requestKey !== key) throw new UpstreamError(`${name} returned the answer of a different request`, { mayHaveRun: true })
     return reply
   }
 
-  /** A call that may have run is sent again only if the caller said that it may be. */
+  /** A call that may have run is retried only if the caller declared it repeatable. */
   #mayRetry (thrown: unknown, attempt: number): boolean {
     if (!(thrown instanceof UpstreamError) || attempt >= MAX_ATTEMPTS) return false
     if (this.#run.mayHaveRun && this.#request.notRepeatable) return false
-    return this.#run.takeRetry()
+    return this.#run.tryAcquireRetry()
   }
 
   #pick (): ListedUpstream {
     const { random, fleet, configuration } = this.#opts
     const pool = configuration().route(this.#request.route)?.pool
-    if (pool === undefined) throw new ReelspanError(ErrorCode.NoRoute, `there is no route ${this.#request.route} any more`)
+    if (pool === undefined) throw new ReelspanError(ErrorCode.NoRoute, `route ${this.#request.route} no longer exists`)
     const candidates = fleet().takingWork(pool).filter(({ name }) => !this.#tried.has(name))
     const [upstream] = random.sample(candidates, 1)
     if (!upstream) {
--- a/request/quarantine/src/quarantine.ts
+++ b/request/quarantine/src/quarantine.ts
@@ -7,9 +7,9 @@
 import { type PastRun, type RunHistory } from './runHistory.js'
 
 /**
- * For how long a request is not run after the last upstream that ended under it. Then it may run
- * once more, and is quarantined again as soon as it ends another one: an engine each ten minutes,
- * in place of one each 0.9 s, until whoever sends it or whoever runs the engines has mended it.
+ * Duration of a quarantine, counted from the last upstream exit. The request may then run once more
+ * and is quarantined again as soon as another upstream exits. Until the request or the engines are
+ * fixed, this costs one engine per ten minutes instead of one per 0.9 s.
  */
 export const QUARANTINE_MS = 10 * 60_000
 
@@ -17,102 +17,102 @@
   clock: Clock
   log: Log
   history: RunHistory
-  /** This box's present incarnation: events are named after it. */
+  /** Present incarnation of this box, used in event ids. */
   incarnation: () => string
-  /** Tells other boxes of an event that this box has seen. */
+  /** Sends an event that this box recorded to other boxes. */
   onEvent: (event: RunEvent) => void
 }
 
-/** Called when a request is not to be run any more that was run before. */
+/** Called when a request has been quarantined. */
 export type QuarantineListener = () => void
 
-/** Keeps requests from upstreams that have ended those that ran them, at whatever box. */
+/** Blocks requests that have repeatedly made upstreams exit, at any box. */
 export class Quarantine {
   readonly #opts: QuarantineOptions
   readonly #listeners = new Set<QuarantineListener>()
-  /** Requests that the log says are quarantined. */
-  readonly #told = new Map<string, RequestIdentity>()
+  /** Requests whose quarantine was logged and whose release was not logged yet. */
+  readonly #logged = new Map<string, RequestIdentity>()
   #sequence = 0
 
   constructor (opts: QuarantineOptions) {
     this.#opts = opts
   }
 
-  /** How many requests are not run at present. Tells of those that may run again. */
+  /** Counts the quarantined requests. Logs those whose quarantine has ended. */
   countQuarantined (): number {
-    [...this.#told.values()].forEach((request) => this.#tell(request, this.#judge(request)))
-    return this.#told.size
+    [...this.#logged.values()].forEach((request) => this.#logChange(request, this.#quarantiningRuns(request)))
+    return this.#logged.size
   }
 
   onQuarantined (listener: QuarantineListener): void {
     this.#listeners.add(listener)
   }
 
-  /** Why a request must not be sent to an upstream now; nothing if it may. The identity is only asked for where anything is known. */
+  /** Why a request must not be sent to an upstream now, or undefined if it may be. Computes the identity only if the history is not empty. */
   refusalOf (identity: () => RequestIdentity): ReelspanError | undefined {
     if (this.#opts.history.size === 0) return undefined
     const request = identity()
-    const runs = this.#judge(request)
-    this.#tell(request, runs)
+    const runs = this.#quarantiningRuns(request)
+    this.#logChange(request, runs)
     return runs.length > 0 ? this.#refusal(runs) : undefined
   }
 
-  /** The upstream's process has ended while it ran the request. */
+  /** Records that the upstream's process exited while it ran the request. */
   noteUpstreamEnded (identity: RequestIdentity, upstream: string, { ranMs, ageMs }: Pick<RunEvent, 'ranMs' | 'ageMs'>): void {
-    this.#note({ ...identity, end: RunEnd.UpstreamEnded, upstream, ranMs, ageMs })
+    this.#recordEvent({ ...identity, end: RunEnd.UpstreamEnded, upstream, ranMs, ageMs })
   }
 
-  /** The request has run to its end, so it does not end every upstream that runs it. That is told where it was at an upstream's end since. */
-  noteFinished (identity: () => RequestIdentity): void {
+  /** Records that the request finished, so it does not make every upstream exit. Only needed if its last recorded run ended with an upstream exit. */
+  recordFinished (identity: () => RequestIdentity): void {
     const { history } = this.#opts
     if (history.size === 0) return
     const request = identity()
-    const last = history.of(request.content).at(-1)
-    if (last?.end === RunEnd.UpstreamEnded) this.#note({ ...request, end: RunEnd.Finished, ranMs: 0, ageMs: 0 })
+    const last = history.runsOf(request.content).at(-1)
+    if (last?.end === RunEnd.UpstreamEnded) this.#recordEvent({ ...request, end: RunEnd.Finished, ranMs: 0, ageMs: 0 })
   }
 
-  /** Events of this or another box were added to the history. */
+  /** Called when events of this or another box were added to the history. */
   noteAdded (events: readonly RunEvent[]): void {
-    const before = this.#told.size
-    events.forEach((event) => this.#tell(event, this.#judge(event)))
-    if (this.#told.size > before) this.#listeners.forEach((listener) => listener())
+    const countBefore = this.#logged.size
+    events.forEach((event) => this.#logChange(event, this.#quarantiningRuns(event)))
+    if (this.#logged.size > countBefore) this.#listeners.forEach((listener) => listener())
   }
 
-  #note (event: Omit<RunEvent, 'id'>): void {
+  #recordEvent (event: Omit<RunEvent, 'id'>): void {
     const { history, incarnation, onEvent } = this.#opts
-    const named = { ...event, id: `${incarnation()}.${this.#sequence++}` }
-    if (!history.add(named)) return
-    this.noteAdded([named])
-    onEvent(named)
+    const identified = { ...event, id: `${incarnation()}.${this.#sequence++}` }
+    if (!history.add(identified)) return
+    this.noteAdded([identified])
+    onEvent(identified)
   }
 
-  #judge (request: RequestIdentity): readonly PastRun[] {
+  #quarantiningRuns (request: RequestIdentity): readonly PastRun[] {
     const runs = judgeRequest(this.#opts.history, request)
     const last = runs.at(-1)
-    return last && this.#leftMs(last) > 0 ? runs : []
+    return last && this.#remainingMs(last) > 0 ? runs : []
   }
 
-  #leftMs ({ endedAtMs }: PastRun): number {
+  #remainingMs ({ endedAtMs }: PastRun): number {
     return endedAtMs + QUARANTINE_MS - this.#opts.clock.nowMs()
   }
 
   #refusal (runs: readonly PastRun[]): ReelspanError {
-    const upstreams = endedUpstreams(runs).join(', ')
-    return new ReelspanError(ErrorCode.RequestQuarantined, `${runs.length} upstreams ended under this request, one after the other: ${upstreams}`, {
-      retryAfterMs: this.#leftMs(runs.at(-1) as PastRun),
+    const upstreams = exitedUpstreams(runs).join(', ')
+    return new ReelspanError(ErrorCode.RequestQuarantined, `${runs.length} upstreams exited one after another while running this request: ${upstreams}`, {
+      retryAfterMs: this.#remainingMs(runs.at(-1) as PastRun),
     })
   }
 
-  #tell ({ content, caller }: RequestIdentity, runs: readonly PastRun[]): void {
+  #logChange ({ content, caller }: RequestIdentity, runs: readonly PastRun[]): void {
     const key = `${content} ${caller}`
     const quarantined = runs.length > 0
-    if (quarantined === this.#told.has(key)) return
-    if (quarantined) this.#told.set(key, { content, caller })
-    else this.#told.delete(key)
-    this.#opts.log.warn(LogEvent.QuarantineChanged, { quarantined, contentHash: content, callerHash: caller, upstreams: endedUpstreams(runs) })
+    if (quarantined === this.#logged.has(key)) return
+    if (quarantined) this.#logged.set(key, { content, caller })
+    else this.#logged.delete(key)
+    this.#opts.log.warn(LogEvent.QuarantineChanged, { quarantined, contentHash: content, callerHash: caller, upstreams: exitedUpstreams(runs) })
   }
 }
 
-function endedUpstreams (runs: readonly PastRun[]): string[] {
+function exitedUpstreams (runs: readonly PastRun[]): string[] {
   return runs.flatMap(({ upstream }) => upstream ?? [])
 }
--- a/request/relay/src/passEvents.ts
+++ b/request/relay/src/passEvents.ts
@@ -1,50 +1,50 @@
 import { type RelayAnswer } from '@reelspan/upstream.client'
 import { type EventProgress } from './eventProgress.js'
-import { type AnswerTimes, noteTime } from './passAnswer.js'
+import { type AnswerTimes, recordPartTime } from './passAnswer.js'
 import { type RelayContext } from './relayContext.js'
-import { type SilenceWatch } from './silenceWatch.js'
+import { type IdleTimer } from './idleTimer.js'
 
 export interface PassEventsOptions {
   progress: EventProgress
-  /** Pass on whole events only, so that another upstream can go on behind the last of them. */
-  wholeEvents: boolean
-  /** Watches for the upstream's silence. */
-  watch: SilenceWatch
-  /** Called when the first event of this answer is there. */
+  /** Pass on complete events only, so that another upstream can continue behind the last of them. */
+  completeEventsOnly: boolean
+  /** Aborts the exchange when the upstream sends nothing for too long. */
+  idleTimer: IdleTimer
+  /** Called when the first event of this answer is complete. */
   onFirst?: () => void
 }
 
 /**
- * Passes a stream of events on as they come. An answer that goes on with one
- * that broke off keeps that one's head. Throws `UpstreamError` when it breaks off.
+ * Streams events to the caller. An answer that continues an interrupted one keeps the
+ * status and headers of the first. Throws `UpstreamError` if it is interrupted.
  */
 export async function passEvents (context: RelayContext, answer: RelayAnswer, times: AnswerTimes, opts: PassEventsOptions): Promise<void> {
   const { run, caller } = context
-  const { progress, wholeEvents, watch, onFirst } = opts
+  const { progress, completeEventsOnly, idleTimer, onFirst } = opts
   let first = true
   if (!caller.begun) caller.begin(answer.status, answer.headers)
   times.status = answer.status
   try {
     for await (const bytes of answer.body) {
-      watch.heard()
-      const complete = progress.take(bytes)
+      idleTimer.reset()
+      const complete = progress.push(bytes)
       if (complete.byteLength > 0) {
-        noteTime(times, run.elapsedMs)
+        recordPartTime(times, run.elapsedMs)
         if (first) onFirst?.()
         first = false
       }
-      const passed = wholeEvents ? complete : bytes
-      // A caller that is slow to read says nothing about the upstream.
-      if (passed.byteLength > 0) await watch.pauseFor(caller.write(passed))
+      const passed = completeEventsOnly ? complete : bytes
+      // Time that a slow caller takes to read does not count as idle time of the upstream.
+      if (passed.byteLength > 0) await idleTimer.pauseDuring(caller.write(passed))
     }
   } catch (thrown) {
-    // A part of an event belongs to the answer that broke off.
-    progress.takeRest()
+    // A partial event of the interrupted answer is dropped, since the next answer repeats it.
+    progress.flush()
     throw thrown
   }
   run.throwIfEnded()
-  const rest = progress.takeRest()
-  if (wholeEvents && rest.byteLength > 0) await caller.write(rest)
+  const rest = progress.flush()
+  if (completeEventsOnly && rest.byteLength > 0) await caller.write(rest)
   times.parts = progress.events
   caller.finish()
   run.finish()
--- a/request/relay/src/sendToUpstream.ts
+++ b/request/relay/src/sendToUpstream.ts
@@ -1,11 +1,11 @@
 import { type PrefilledPrompt, type RelayAnswer, type RelayCallOptions, type RelayRunOptions, type RelayTarget, UpstreamError } from '@reelspan/upstream.client'
 import { type SendPermit } from '@reelspan/upstream.limits'
-import { dropAnswer } from './dropAnswer.js'
+import { drainAnswer } from './drainAnswer.js'
 import { type RelayContext } from './relayContext.js'
 
 /**
- * An upstream, and the permit to send it one request. Nothing is sent without one: an upstream's limit is for all
- * boxes together, and no box sees what the others send.
+ * An upstream with the permit to send it one request. Every request needs a permit: an upstream's limit is shared
+ * by all boxes, and no box sees what the others send.
  */
 export interface PermittedTarget {
   target: RelayTarget
@@ -13,32 +13,32 @@
 }
 
 /**
- * Sends a request to an upstream that will run it. Once it is sent it may have run,
- * unless the upstream says that it did not. Throws `UpstreamError`.
+ * Sends a request to the upstream that runs it. From then on it may have run, unless the
+ * upstream reports that it did not. Throws `UpstreamError`.
  */
 export function sendToUpstream (context: RelayContext, to: PermittedTarget, runOptions: RelayRunOptions): Promise<RelayAnswer> {
   const { opts, run, request } = context
   const { target } = to
-  return run.dispatchWhenSent(async (sent) => {
+  return run.dispatchOnSend(async (sent) => {
     const onSend = () => {
       sent()
       runOptions.onSend?.()
     }
-    const answer = await opts.upstreams.run(target, request, accountedFor(context, to, { ...runOptions, onSend }))
+    const answer = await opts.upstreams.run(target, request, withAccounting(context, to, { ...runOptions, onSend }))
     if (!answer.notRun) return answer
-    void dropAnswer(answer)
-    throw new UpstreamError(`${target.instance} answered ${answer.status} and did not run the request`, { mayHaveRun: false, refused: true })
+    void drainAnswer(answer)
+    throw new UpstreamError(`${target.instance} responded with ${answer.status} without running the request`, { mayHaveRun: false, refused: true })
   })
 }
 
-/** Has an engine compute the KV cache of a request's prompt. Throws `UpstreamError`. */
+/** Requests the prefill of a prompt from an engine. Throws `UpstreamError`. */
 export function prefillAtUpstream (context: RelayContext, to: PermittedTarget, callOptions: RelayCallOptions): Promise<PrefilledPrompt> {
   const { opts, request } = context
-  return opts.upstreams.prefill(to.target, request, accountedFor(context, to, callOptions))
+  return opts.upstreams.prefill(to.target, request, withAccounting(context, to, callOptions))
 }
 
-/** Uses the permit when the request is sent, and observes what the response advertises. */
-function accountedFor<T extends RelayCallOptions> ({ opts: { clock, signals } }: RelayContext, { target, permit }: PermittedTarget, callOptions: T): T {
+/** Adds callbacks that consume the permit when the request is sent and process the signals that the response advertises. */
+function withAccounting<T extends RelayCallOptions> ({ opts: { clock, signals } }: RelayContext, { target, permit }: PermittedTarget, callOptions: T): T {
   let sentAtMs = clock.nowMs()
   return {
     ...callOptions,
--- a/request/relay/test/__utils__/createRelay.ts
+++ b/request/relay/test/__utils__/createRelay.ts
@@ -2,7 +2,7 @@
 import { checkResources, Configuration, ResourceKind } from '@reelspan/config.resources'
 import { type EngineOutcome, PlacementOutcome, type PlacementRefusal } from '@reelspan/core.messages'
 import { EvenShareLimiter } from '@reelspan/membership.limits'
-import { BrokenRuns, type BrokenRunsOptions, Quarantine, RunHistory } from '@reelspan/request.quarantine'
+import { BrokenRuns, type InterruptedRunsOptions, Quarantine, RunHistory } from '@reelspan/request.quarantine'
 import { Relay, type RelayOptions } from '@reelspan/request.relay'
 import { type Placement, Placer, type PlaceRequest } from '@reelspan/scheduling.placer'
 import { Log, type LogEvent, type LogFields } from '@reelspan/telemetry.log'
@@ -14,25 +14,25 @@
 import { KeepingCaller } from '@reelspan/utils.fake-fleet'
 import { NO_ACCOUNTS, SeededRandom, VirtualClock } from '@reelspan/utils.fakes'
 
-/** What a scripted upstream does with one request. */
+/** Scripted behavior of an upstream for one request. */
 export type Script = (opts: RelayRunOptions & { clock: VirtualClock }) => Promise<RelayAnswer>
 
-/** Upstreams that follow scripts, in the order in which requests reach them. */
+/** Upstreams that run the scripts in the order in which requests arrive. */
 export class ScriptedUpstreams extends RelayClient {
   readonly runs: { instance: string, request: RelayedRequest, opts: RelayRunOptions }[] = []
   readonly prefills: string[] = []
   readonly freed: PrefillSource[] = []
   readonly #clock: VirtualClock
   readonly #scripts: Script[]
-  readonly #working: AbortSignal[] = []
+  readonly #inProgress: AbortSignal[] = []
   prefillFailure?: UpstreamError
-  prefillIsSilent = false
-  /** The prefill ends when this resolves, whatever becomes of its caller. */
+  prefillHangs = false
+  /** The prefill ends when this resolves, even if it was aborted. */
   prefillEnds?: Promise<void>
   onPrefill?: () => void
   /** Instances that accept no connection. */
   readonly unreachable = new Set<string>()
-  /** Requests wait for this before they are sent, or are given up unsent. */
+  /** Requests wait for this before they are sent, unless they are aborted first. */
   connects?: Promise<void>
 
   constructor (clock: VirtualClock, scripts: Script[]) {
@@ -41,27 +41,27 @@
     this.#scripts = scripts
   }
 
-  /** What goes on at upstreams and was not given up. */
-  get working (): number {
-    return this.#working.filter(({ aborted }) => !aborted).length
+  /** Number of calls in progress at upstreams that were not aborted. */
+  get inProgress (): number {
+    return this.#inProgress.filter(({ aborted }) => !aborted).length
   }
 
   async run (target: RelayTarget, request: RelayedRequest, opts: RelayRunOptions): Promise<RelayAnswer> {
-    if (this.connects) await Promise.race([this.connects, givenUp(opts.signal, { mayHaveRun: false })])
+    if (this.connects) await Promise.race([this.connects, rejectOnAbort(opts.signal, { mayHaveRun: false })])
     if (this.unreachable.has(target.instance)) throw new UpstreamError(`${target.instance} cannot be reached`, { mayHaveRun: false, unreachable: true })
     const script = this.#scripts[this.runs.length]
     this.runs.push({ instance: target.instance, request, opts })
     opts.onSend?.()
-    const answer = await this.#atWork(opts.signal, script({ ...opts, clock: this.#clock }))
-    return { ...answer, body: this.#bodyAtWork(opts.signal, answer.body) }
+    const answer = await this.#trackWork(opts.signal, script({ ...opts, clock: this.#clock }))
+    return { ...answer, body: this.#trackBody(opts.signal, answer.body) }
   }
 
   async prefill (target: RelayTarget, _request: RelayedRequest, { signal, onSend }: RelayCallOptions): Promise<PrefilledPrompt> {
     this.prefills.push(target.instance)
     onSend?.()
     this.onPrefill?.()
-    if (this.prefillEnds) await this.#atWork(signal, this.prefillEnds)
-    if (this.prefillIsSilent) await this.#atWork(signal, givenUp(signal))
+    if (this.prefillEnds) await this.#trackWork(signal, this.prefillEnds)
+    if (this.prefillHangs) await this.#trackWork(signal, rejectOnAbort(signal))
     if (this.prefillFailure) throw this.prefillFailure
     return { handle: `handle-${this.prefills.length}`, promptTokens: 1000 }
   }
@@ -70,65 +70,65 @@
     this.freed.push(source)
   }
 
-  async #atWork<T> (signal: AbortSignal, work: Promise<T>): Promise<T> {
-    this.#working.push(signal)
+  async #trackWork<T> (signal: AbortSignal, work: Promise<T>): Promise<T> {
+    this.#inProgress.push(signal)
     try {
       return await work
     } finally {
-      this.#working.splice(this.#working.indexOf(signal), 1)
+      this.#inProgress.splice(this.#inProgress.indexOf(signal), 1)
     }
   }
 
-  async * #bodyAtWork (signal: AbortSignal, body: AsyncIterable<Uint8Array>): AsyncGenerator<Uint8Array> {
-    this.#working.push(signal)
+  async * #trackBody (signal: AbortSignal, body: AsyncIterable<Uint8Array>): AsyncGenerator<Uint8Array> {
+    this.#inProgress.push(signal)
     try {
       yield * body
     } finally {
-      this.#working.splice(this.#working.indexOf(signal), 1)
+      this.#inProgress.splice(this.#inProgress.indexOf(signal), 1)
     }
   }
 }
 
-/** A caller that keeps what it gets, and may stop taking it in. */
+/** A caller that records what it receives and can stop reading. */
 export class RecordingCaller extends KeepingCaller {
-  /** Takes in nothing more until it leaves or reads again. */
-  readsNothing = false
-  #readsAgain = () => {}
+  /** Blocks writes until the caller disconnects or resumes reading. */
+  stopsReading = false
+  #onReadingResumed = () => {}
 
   override async write (bytes: Uint8Array): Promise<void> {
     await super.write(bytes)
-    if (!this.readsNothing || this.left.signal.aborted) return
+    if (!this.stopsReading || this.left.signal.aborted) return
     await new Promise<void>((resolve) => {
-      this.#readsAgain = resolve
+      this.#onReadingResumed = resolve
       this.left.signal.addEventListener('abort', () => resolve(), { once: true })
     })
   }
 
-  readAgain (): void {
-    this.readsNothing = false
-    this.#readsAgain()
+  resumeReading (): void {
+    this.stopsReading = false
+    this.#onReadingResumed()
   }
 }
 
-/** Places everything on the same two engines, or refuses. */
+/** Places each request on the same prefill engine and a new decode engine, or refuses it. */
 class FixedPlacer extends Placer {
-  readonly asked: PlaceRequest[] = []
+  readonly requests: PlaceRequest[] = []
   placed = 0
   released = 0
   readonly outcomes: EngineOutcome[] = []
   refusal?: PlacementRefusal
   startInMs = 0
-  /** Decode engines compute the prompts themselves. */
+  /** Whether decode engines compute the prompts themselves. */
   ownPrefill = false
   prefilled = 0
-  /** The answer comes when this resolves, whatever becomes of its caller. */
+  /** The placement is returned when this resolves, even if the request was aborted. */
   answers?: Promise<void>
 
   async place (request: PlaceRequest): Promise<Placement | PlacementRefusal> {
-    this.asked.push(request)
+    this.requests.push(request)
     await this.answers
     if (this.refusal) return this.refusal
-    const nth = this.asked.length
+    const nth = this.requests.length
     this.placed++
     const decode = { decodeEngine: `d${nth}`, decodeAddress: `10.0.1.${nth}:1` }
     const prefill = this.ownPrefill ? { prefillEngine: decode.decodeEngine, prefillAddress: decode.decodeAddress } : { prefillEngine: 'p1', prefillAddress: '10.0.0.1:1' }
@@ -146,7 +146,7 @@
   }
 }
 
-/** Upstreams that have ended refuse connections; all others listen. */
+/** Upstreams that have exited refuse connections; all others listen. */
 class ScriptedProbe extends UpstreamProbe {
   readonly ended = new Set<string>()
 
@@ -155,7 +155,7 @@
   }
 }
 
-class KeptLog extends Log {
+class RecordingLog extends Log {
   readonly entries: { event: LogEvent, fields?: LogFields }[] = []
 
   info (event: LogEvent, fields?: LogFields): void {
@@ -185,28 +185,28 @@
 export interface TestRelayOptions {
   retryBurst?: number
   services?: readonly string[]
-  /** The box has no configuration before; from the start without it. */
+  /** The box gets its configuration after this time; by default it has one from the start. */
   configuredAfterMs?: number
-  /** Decode engines compute prompts themselves if they must. */
+  /** Whether decode engines can compute prompts themselves. */
   computesPrompts?: boolean
   onTaskError?: RelayOptions['onTaskError']
   admission?: RelayOptions['admission']
 }
 
-/** A relay before scripted upstreams, with four routes of the kinds there are. */
+/** Creates a relay with scripted upstreams and one route of each of the four kinds. */
 export function createRelay (scripts: Script[], { retryBurst = 20, services = ['s1', 's2', 's3'], computesPrompts = false, configuredAfterMs = 0, onTaskError, admission = NO_ACCOUNTS }: TestRelayOptions = {}) {
   const clock = new VirtualClock()
   const startedAtMs = clock.nowMs()
   const upstreams = new ScriptedUpstreams(clock, scripts)
   const placer = new FixedPlacer()
-  const log = new KeptLog()
+  const log = new RecordingLog()
   const probe = new ScriptedProbe()
   const metrics = new Metrics()
   const reports = new UpstreamReports({ clock })
   const closedUnanswered: string[] = []
   const history = new RunHistory({ clock })
   const quarantine = new Quarantine({ clock, log, history, incarnation: () => 'a'.repeat(16), onEvent: () => {} })
-  const onUpstreamEnded: BrokenRunsOptions['onUpstreamEnded'] = ({ identity, upstream, sentAtMs, brokeAtMs }) =>
+  const onUpstreamExited: InterruptedRunsOptions['onUpstreamEnded'] = ({ identity, upstream, sentAtMs, brokeAtMs }) =>
     quarantine.noteUpstreamEnded(identity, upstream, { ranMs: brokeAtMs - sentAtMs, ageMs: 0 })
   const { configuration, problems } = checkResources(declared(computesPrompts).map((one) => ({ ...one, revision: 1 })), 1)
   if (problems.length > 0) throw new Error(JSON.stringify(problems))
@@ -243,7 +243,7 @@
     standing: () => ({ peerAddress: '10.0.0.9:1', incarnation: 'a'.repeat(16), availabilityZone: 'a' }),
     boxCount: () => 1,
     onTaskError,
-    brokenRuns: new BrokenRuns({ clock, probe, log, metrics, fleet, onUpstreamEnded }),
+    brokenRuns: new BrokenRuns({ clock, probe, log, metrics, fleet, onUpstreamEnded: onUpstreamExited }),
     quarantine,
     retriesPerRequest: 0,
     retryBurst,
@@ -271,18 +271,18 @@
   return async () => ({ status, notRun: false, headers: [], body: bodyOf([text]) })
 }
 
-/** Answers after a while, unless it is given up before. */
+/** Answers after a delay, unless aborted before. */
 export function answersAfter (waitMs: number, status: number, text: string): Script {
   return async ({ clock, signal }) => {
     await clock.sleep(waitMs, { signal })
-    if (signal.aborted) throw new UpstreamError('given up', { mayHaveRun: true, unreachable: true })
+    if (signal.aborted) throw new UpstreamError('aborted', { mayHaveRun: true, unreachable: true })
     return { status, notRun: false, headers: [], body: bodyOf([text]) }
   }
 }
 
-/** Begins an answer and breaks off behind the given parts. */
-export function breaksOff (status: number, parts: string[]): Script {
-  return async () => ({ status, notRun: false, headers: [], body: bodyOf(parts, new UpstreamError('broke off', { mayHaveRun: true })) })
+/** Begins an answer and fails behind the given parts. */
+export function aborts (status: number, parts: string[]): Script {
+  return async () => ({ status, notRun: false, headers: [], body: bodyOf(parts, new UpstreamError('connection lost', { mayHaveRun: true })) })
 }
 
 export function refuses (): Script {
@@ -293,35 +293,35 @@
   return async () => { throw new UpstreamError('failed', opts) }
 }
 
-/** Says nothing until it is given up. */
-export function silent (): Script {
-  return ({ signal }) => givenUp(signal)
+/** Sends nothing until aborted. */
+export function hangs (): Script {
+  return ({ signal }) => rejectOnAbort(signal)
 }
 
-/** Begins an answer and says no more until it is given up. */
-export function fallsSilent (status: number, part: string): Script {
-  return async ({ signal }) => ({ status, notRun: false, headers: [], body: silentBody(part, signal) })
+/** Begins an answer, then sends nothing until aborted. */
+export function stalls (status: number, part: string): Script {
+  return async ({ signal }) => ({ status, notRun: false, headers: [], body: stallingBody(part, signal) })
 }
 
-async function * silentBody (part: string, signal: AbortSignal): AsyncGenerator<Uint8Array> {
+async function * stallingBody (part: string, signal: AbortSignal): AsyncGenerator<Uint8Array> {
   yield Buffer.from(part)
-  await givenUp(signal)
+  await rejectOnAbort(signal)
 }
 
-function givenUp (signal: AbortSignal, { mayHaveRun } = { mayHaveRun: true }): Promise<never> {
+function rejectOnAbort (signal: AbortSignal, { mayHaveRun } = { mayHaveRun: true }): Promise<never> {
   return new Promise((_resolve, reject) => {
-    const giveUp = () => reject(new UpstreamError('given up', { mayHaveRun, unreachable: true }))
-    if (signal.aborted) giveUp()
-    else signal.addEventListener('abort', giveUp)
+    const abort = () => reject(new UpstreamError('aborted', { mayHaveRun, unreachable: true }))
+    if (signal.aborted) abort()
+    else signal.addEventListener('abort', abort)
   })
 }
 
-/** Gives its parts at once; breaks off if it is given up before they are taken. */
-export function endsUnlessGivenUp (status: number, parts: string[]): Script {
-  return async ({ signal }) => ({ status, notRun: false, headers: [], body: bodyUnlessGivenUp(parts, signal) })
+/** Sends its parts at once; fails if aborted before they are read. */
+export function endsUnlessAborted (status: number, parts: string[]): Script {
+  return async ({ signal }) => ({ status, notRun: false, headers: [], body: bodyUnlessAborted(parts, signal) })
 }
 
-/** Gives a part, pauses before each further one, and breaks off if it is given up. */
+/** Sends a part, pauses before each further one, and fails if aborted. */
 export function pauses (status: number, parts: string[], pauseMs: number): Script {
   return async ({ clock, signal }) => ({ status, notRun: false, headers: [], body: pausingBody(parts, () => clock.sleep(pauseMs, { signal }), signal) })
 }
@@ -329,14 +329,14 @@
 async function * pausingBody (parts: string[], pause: () => Promise<void>, signal: AbortSignal): AsyncGenerator<Uint8Array> {
   for (const [i, part] of parts.entries()) {
     if (i > 0) await pause()
-    if (signal.aborted) throw new UpstreamError('given up', { mayHaveRun: true, unreachable: true })
+    if (signal.aborted) throw new UpstreamError('aborted', { mayHaveRun: true, unreachable: true })
     yield Buffer.from(part)
   }
 }
 
-async function * bodyUnlessGivenUp (parts: string[], signal: AbortSignal): AsyncGenerator<Uint8Array> {
+async function * bodyUnlessAborted (parts: string[], signal: AbortSignal): AsyncGenerator<Uint8Array> {
   for (const part of parts) {
-    if (signal.aborted) throw new UpstreamError('given up', { mayHaveRun: true, unreachable: true })
+    if (signal.aborted) throw new UpstreamError('aborted', { mayHaveRun: true, unreachable: true })
     yield Buffer.from(part)
   }
 }
--- a/request/relay/test/upstreamSignals.ts
+++ b/request/relay/test/upstreamSignals.ts
@@ -3,18 +3,18 @@
 import test from 'ava'
 import { answers, createRelay, RecordingCaller, refuses, requestTo } from './__utils__/createRelay.js'
 
-test('a decode engine that asks for a wait while the prompt is read is not sent it, and the handle is freed', async (t) => {
+test('a decode engine that requests a backoff during the prefill is not sent the request, and the handle is freed', async (t) => {
   const { clock, relay, upstreams, placer, backoffs } = createRelay([answers(200, 'id: 0\ndata: 1\n\n')])
   upstreams.onPrefill = () => backoffs.start('d1', 3000)
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d2'])
   t.is(upstreams.freed.length, 1)
-  t.true(placer.asked[1].avoid.includes('d1'))
+  t.true(placer.requests[1].avoid.includes('d1'))
   t.true(caller.whole)
 })
 
-test('a decode engine that refuses with a wait is not asked once more to compute the prompt itself', async (t) => {
+test('a decode engine that refuses with a backoff is not asked again to compute the prompt itself', async (t) => {
   const { clock, relay, upstreams, signals } = createRelay([async (opts) => {
     signals.observe('d1', { succeeded: false, backoff: { durationMs: 3000, text: '3' } }, 0)
     return refuses()(opts)
@@ -24,17 +24,17 @@
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d1', 'd2'])
 })
 
-test('placements avoid the engines that asked this box for a wait, and no others', async (t) => {
+test('placements avoid exactly the engines that asked this box to back off', async (t) => {
   const { clock, relay, placer, backoffs } = createRelay([answers(200, 'data: 1\n\n'), answers(200, 'data: 1\n\n')])
   backoffs.start('d3', 3000)
   await clock.run(relay.relay(requestTo('/draft/1'), new RecordingCaller()))
-  t.deepEqual(placer.asked[0].avoid, ['d3'])
+  t.deepEqual(placer.requests[0].avoid, ['d3'])
   await clock.advance(3000)
   await clock.run(relay.relay(requestTo('/draft/2', { id: 'r2' }), new RecordingCaller()))
-  t.deepEqual(placer.asked[1].avoid, [])
+  t.deepEqual(placer.requests[1].avoid, [])
 })
 
-test('a call goes to another service while one asked for a wait, and no caller waits for it', async (t) => {
+test('calls go to other services during the backoff of one, without waiting', async (t) => {
   const { clock, relay, upstreams, backoffs, log } = createRelay(Array.from({ length: 4 }, () => answers(200, 'one')))
   backoffs.start('s1', 3000)
   const callers = Array.from({ length: 4 }, () => new RecordingCaller())
@@ -44,27 +44,27 @@
   t.false(log.entries.some(({ event }) => event === LogEvent.UpstreamsAtLimit))
 })
 
-test('callers that are refused during a wait return in their order, the first when it ends, the last soon after', async (t) => {
+test('callers that are refused during a backoff get ordered retry times, from its end to soon after', async (t) => {
   const { clock, relay, upstreams, backoffs, log } = createRelay([], { services: ['s1', 's2'] })
   const startMs = clock.nowMs()
   backoffs.start('s1', 2000)
   backoffs.start('s2', 5000)
-  const returnsMs: number[] = []
+  const retryTimesMs: number[] = []
   for (let i = 0; i < 20; i++) {
     const caller = new RecordingCaller()
     await clock.run(relay.relay(requestTo('/fetch/1', { id: `r${i}` }), caller))
     t.like(caller.refused, { verdict: Verdict.NotRun, code: ErrorCode.UpstreamBackoff })
-    returnsMs.push(clock.nowMs() - startMs + (caller.refused?.retryAfterMs ?? 0))
+    retryTimesMs.push(clock.nowMs() - startMs + (caller.refused?.retryAfterMs ?? 0))
     await clock.advance(95)
   }
   t.is(upstreams.runs.length, 0)
-  t.is(returnsMs[0], 2000)
-  t.true(returnsMs.every((atMs, i) => i === 0 || atMs > returnsMs[i - 1]), returnsMs.join())
-  t.true(returnsMs[19] > 2500 && returnsMs[19] <= 3000, `${returnsMs[19]}`)
+  t.is(retryTimesMs[0], 2000)
+  t.true(retryTimesMs.every((atMs, i) => i === 0 || atMs > retryTimesMs[i - 1]), retryTimesMs.join())
+  t.true(retryTimesMs[19] > 2500 && retryTimesMs[19] <= 3000, `${retryTimesMs[19]}`)
   t.true(log.entries.some(({ event, fields }) => event === LogEvent.UpstreamsBackingOff && fields?.retryAfterMs !== undefined))
 })
 
-test('a service that refused with a wait gets calls again as soon as it is over', async (t) => {
+test('a service that refused with a backoff gets calls again as soon as it is over', async (t) => {
   const { clock, relay, upstreams, signals } = createRelay([async (opts) => {
     signals.observe('s1', { succeeded: false, backoff: { durationMs: 500, text: '0.5' } }, 0)
     return refuses()(opts)
@@ -77,7 +77,7 @@
   t.true(caller.whole)
 })
 
-test('a refusal names no more than some of the upstreams of a large pool', async (t) => {
+test('a refusal names a bounded number of the upstreams of a large pool', async (t) => {
   const services = Array.from({ length: 3000 }, (_, i) => `s${i}`)
   const { clock, relay, backoffs, log } = createRelay([], { services })
   services.forEach((service) => backoffs.start(service, 2000))
