--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -180,7 +180,7 @@
   {
     name: 'an owner releases its engines on every way out',
     file: 'request/owner/src/completionRun.ts',
-    find: 'if (!settled) this.#releaseEngines(label, plan)',
+    find: 'if (!finished) this.#releaseEngines(label, plan)',
     replace: 'if (label === undefined) this.#releaseEngines(label, plan)',
     tests: [HOLDS],
   },
@@ -243,21 +243,21 @@
   {
     name: 'a request that is not sent yet has not run',
     file: 'request/owner/src/runContext.ts',
-    find: 'return await send(sent)',
-    replace: 'sent(); return await send(sent)',
+    find: 'return await send(markSent)',
+    replace: 'markSent(); return await send(markSent)',
     tests: [LEFT_CALLER],
   },
   {
     name: 'a box that slept does not say that nothing ran',
     file: 'request/owner/src/runContext.ts',
-    find: ' || !this.#opts.isSure()',
+    find: ' || !this.#opts.isExclusive()',
     replace: '',
     tests: [ONCE_ONLY],
   },
   {
     name: 'deadline and standing are checked right before a send',
     file: 'request/owner/src/runContext.ts',
-    find: 'if (this.leftMs <= 0) this.#endLate()',
+    find: 'if (this.remainingMs <= 0) this.#endAtDeadline()',
     replace: '',
     tests: [ONCE_ONLY],
   },
@@ -453,8 +453,9 @@
   {
     name: 'a request that ends upstreams is kept from them',
     file: 'request/owner/src/runContext.ts',
-    find: 'if (refusal) this.end(refusal)\n    if (this.leftMs <= 0)',
-    replace: 'if (this.leftMs <= 0)',
+    find: `if (refusal) this.end(refusal)
+    if (this.remainingMs <= 0)`,
+    replace: 'if (this.remainingMs <= 0)',
     tests: [CRASHING],
   },
   {
