--- a/upstream/client/src/engineClient.ts
+++ b/upstream/client/src/engineClient.ts
@@ -2,7 +2,7 @@
 import { type EngineOrder, type EngineReport } from './engineReport.js'
 
 export interface UpstreamCallOptions {
-  /** Longest wait for the answer; for a stream, the longest silence. */
+  /** Timeout for the answer; for a stream, the idle timeout between events. */
   timeoutMs: number
   signal?: AbortSignal
 }
@@ -10,7 +10,7 @@
 export interface PrefillRequest {
   label: HoldLabel
   model: string
-  /** The prompt, and after it whatever was already generated when a request is taken up again. */
+  /** The prompt. When a request is resumed, the text generated so far is appended. */
   prompt: string
   priority: number
 }
@@ -25,22 +25,22 @@
 export interface DecodeRequest {
   label: HoldLabel
   model: string
-  /** Where the prefill result is. */
+  /** Address of the engine that holds the prefill result. */
   prefillAddress: string
   maxTokens: number
   priority: number
-  /** Index of the first token to send. Above 0, an existing stream is taken up again. */
+  /** Index of the first token to send. A value above 0 resumes an existing stream. */
   fromIndex: number
-  /** Index that the first generated token gets. */
+  /** Index assigned to the first generated token. */
   firstIndex: number
 }
 
-/** A part of a decode stream. It repeats its label, so that a crossed answer is found out. */
+/** An event of a decode stream. It repeats the label, so that an answer to another request is detected. */
 export type DecodeEvent =
   | { label: HoldLabel, index: number, text: string, end?: undefined }
   | { label: HoldLabel, end: true, count: number }
 
-/** Cache changes since a sequence number. A gap shows as `firstSequence` above the asked one. */
+/** Cache evictions since a sequence number. If `firstSequence` is above the requested number, events were lost. */
 export interface CacheEventPage {
   firstSequence: number
   nextSequence: number
@@ -54,7 +54,7 @@
   /** Imports the prefill result into the engine and generates. */
   abstract decode (address: string, request: DecodeRequest, opts: UpstreamCallOptions): AsyncIterable<DecodeEvent>
 
-  /** Frees whatever the engine holds under the label. Does nothing when there is nothing. */
+  /** Frees everything that the engine holds under the label. Does nothing if it holds nothing. */
   abstract release (address: string, label: HoldLabel, opts: UpstreamCallOptions): Promise<void>
 
   abstract report (address: string, opts: UpstreamCallOptions): Promise<EngineReport>
--- a/upstream/client/src/engineReport.ts
+++ b/upstream/client/src/engineReport.ts
@@ -6,21 +6,21 @@
 }
 
 export enum HoldKind {
-  /** KV cache of a finished prefill that waits for its export. */
+  /** KV cache of a finished prefill, waiting to be exported. */
   PrefillResult = 'prefillResult',
-  /** A prefill that is queued or computing. */
+  /** A prefill that is queued or running. */
   Prefill = 'prefill',
-  /** KV cache on its way in. */
+  /** KV cache that is being imported. */
   Import = 'import',
   Decode = 'decode',
 }
 
-/** Something that an engine holds for a request. */
+/** A resource that an engine holds for a request. */
 export interface EngineHold {
   label: HoldLabel
   kind: HoldKind
   kvBytes: number
-  /** Tokens that were generated so far. */
+  /** Tokens generated so far. */
   tokensDone: number
 }
 
@@ -29,22 +29,22 @@
   version: string
 }
 
-/** An engine's own word of itself. Its load part may lag; its list of holds is exact. */
+/** State that an engine reports about itself. The load figures may lag; the list of holds is exact. */
 export interface EngineReport {
-  /** When the start of the engine began that reports, in Unix milliseconds by its own clock. Only some engines tell. */
+  /** Start time of the engine's process in Unix milliseconds by its own clock. Only some engines report it. */
   startedAtMs?: number
   role: EngineRole
   loaded: LoadedModel[]
-  /** A load or role change is under way. */
+  /** A model load or role change is in progress. */
   changing: boolean
   placesUsed: number
   placesTotal: number
   kvBytesUsed: number
   kvBytesTotal: number
   prefillQueueMs: number
-  /** The highest fencing number it has accepted. 0 from one that does not check them. */
+  /** The highest fencing token that the engine has accepted; 0 if it does not check them. */
   fence: number
-  /** Orders that it has taken since it started. Only some engines tell. */
+  /** Number of orders accepted since the engine started. Only some engines report it. */
   ordersTaken?: number
   holds: EngineHold[]
 }
@@ -54,18 +54,18 @@
   ChangeRole = 'changeRole',
 }
 
-/** An order to an engine. It carries a fencing number that an engine may check or ignore. */
-export type EngineOrder = OrderAddress & (
+/** An order to an engine. It carries a fencing token that the engine may check or ignore. */
+export type EngineOrder = OrderPreconditions & (
   | { kind: OrderKind.LoadModel, model: string, version: string, fence: number }
   | { kind: OrderKind.ChangeRole, role: EngineRole, fence: number }
 )
 
-/** Who orders whom, for engines that ask. */
-export interface OrderAddress {
-  /** Only this incarnation of the engine may take the order. */
+/** Values that an engine may check before it accepts an order. */
+export interface OrderPreconditions {
+  /** The only incarnation of the engine that may accept the order. */
   instance?: string
-  /** Who gives the order. */
+  /** The box that gives the order. */
   holder?: string
-  /** Orders that the engine has taken before, as far as the holder knows. It refuses the order when there were others. */
+  /** Number of orders the engine has accepted, as known to the holder. The engine refuses the order if its own count differs. */
   ordersTaken?: number
 }
--- a/upstream/client/src/relayClient.ts
+++ b/upstream/client/src/relayClient.ts
@@ -5,43 +5,43 @@
 export interface PromptSizes {
   model: string
   promptTokens: number
-  /** The most tokens that the answer may have. */
+  /** Maximum number of tokens in the answer. */
   maxTokens: number
-  /** The caller's own estimate of the answer's tokens. At the median it is right. */
+  /** The caller's estimate of the answer's length in tokens. It is correct at the median. */
   expectedTokens?: number
-  /** Beginnings of the prompt that other prompts may share, each with the tokens up to its end. */
+  /** Prefixes that the prompt may share with other prompts, each with its length in tokens. */
   prefixes: readonly { digest: string, tokens: number }[]
 }
 
-/** A caller's request, which upstreams get as it came. */
+/** A caller's request, passed to upstreams unchanged. */
 export interface RelayedRequest {
-  /** The caller's name for this attempt. A retry has another one. */
+  /** The caller's ID of this attempt. A retry has a different ID. */
   id: string
   method: string
   host: string
   /** Path and query. */
   target: string
-  /** Names and values in turn, without those that concern one connection. */
+  /** Alternating names and values, without hop-by-hop headers. */
   headers: readonly string[]
   body: Uint8Array
   prompt?: PromptSizes
-  /** Number of the last event that the caller has of an earlier attempt's answer. */
+  /** ID of the last event that the caller received of an earlier attempt's answer. */
   resumeAfter?: string
-  /** Where the caller is: its IP number. */
+  /** The caller's IP address. */
   callerAddress: string
-  /** Digest of the client account's key that came with it, if any. The key itself is not kept. */
+  /** Digest of the client account key sent with the request, if any. The key itself is not kept. */
   keyDigest?: string
-  /** The client account that it was taken in for. Upstreams are told. */
+  /** The client account under which the request was admitted. It is passed to upstreams. */
   account?: string
 }
 
-/** One incarnation of an upstream. Any other one at the address refuses the request unrun. */
+/** One incarnation of an upstream. Any other incarnation at the address refuses the request without running it. */
 export interface RelayTarget {
   instance: string
   address: string
 }
 
-/** Where a decode engine fetches the KV cache of a prompt. */
+/** The engine from which a decode engine fetches the KV cache of a prompt. */
 export interface PrefillSource {
   address: string
   handle: string
@@ -49,32 +49,32 @@
 
 export interface RelayCallOptions {
   signal: AbortSignal
-  /** Time that the upstream has for the request. */
+  /** Time left for the upstream to complete the request. */
   deadlineMs: number
-  /** The upstream may act on the request from now on. Always called before anything is sent. */
+  /** Called before anything is sent. From then on the upstream may act on the request. */
   onSend?: () => void
-  /** Called with each response head: success, failure or refusal. */
+  /** Called with the signals of each response head: success, failure or refusal. */
   onSignals?: (signals: UpstreamSignals) => void
 }
 
 export interface RelayRunOptions extends RelayCallOptions {
   source?: PrefillSource
-  /** Goes on behind this event of an answer that broke off. */
+  /** Resumes an interrupted answer after the event with this ID. */
   resumeAfter?: string
   /** 0 is the most urgent. */
   urgency?: number
 }
 
-/** An upstream's answer, as it came. */
+/** An upstream's answer, unchanged. */
 export interface RelayAnswer {
   status: number
-  /** The upstream says that it did not run the request and will not. */
+  /** The upstream reports that it did not run the request and will not run it. */
   notRun: boolean
   headers: readonly string[]
   body: AsyncIterable<Uint8Array>
 }
 
-/** A prompt whose KV cache an engine keeps for a short while. */
+/** A prompt whose KV cache an engine keeps for a short time. */
 export interface PrefilledPrompt {
   handle: string
   promptTokens: number
@@ -82,12 +82,12 @@
 
 /** Sends opaque requests to upstreams, each exactly once. Every method throws `UpstreamError`. */
 export abstract class RelayClient {
-  /** Runs the request. Resolves with the head of the answer. */
+  /** Runs the request. Resolves once the head of the answer has arrived. */
   abstract run (target: RelayTarget, request: RelayedRequest, opts: RelayRunOptions): Promise<RelayAnswer>
 
-  /** Computes the KV cache of the prompt and nothing more. */
+  /** Computes the KV cache of the prompt without generating tokens. */
   abstract prefill (target: RelayTarget, request: RelayedRequest, opts: RelayCallOptions): Promise<PrefilledPrompt>
 
-  /** Frees what an engine keeps of a prompt. */
+  /** Frees the KV cache that an engine keeps for a prompt. */
   abstract free (source: PrefillSource, opts: UpstreamCallOptions): Promise<void>
 }
--- a/upstream/client/src/serviceClient.ts
+++ b/upstream/client/src/serviceClient.ts
@@ -9,14 +9,14 @@
 }
 
 export interface ServiceReply {
-  /** The request that the service says this answers. */
+  /** Key of the request that the service reports to have answered. */
   requestKey: string
   status: number
   contentType: string
   body: Uint8Array
 }
 
-/** Talks to plain services. Throws `UpstreamError`. */
+/** Calls plain services. Throws `UpstreamError`. */
 export abstract class ServiceClient {
   abstract call (address: string, call: ServiceCall, opts: UpstreamCallOptions): Promise<ServiceReply>
 }
--- a/upstream/client/src/upstreamError.ts
+++ b/upstream/client/src/upstreamError.ts
@@ -8,17 +8,17 @@
   cause?: unknown
 }
 
-/** A call to an upstream failed. Its verdict is `notRun` only when the upstream is known not to have begun. */
+/** A call to an upstream failed. The verdict is `notRun` only if the upstream is known not to have started the request. */
 export class UpstreamError extends ReelspanError {
-  /** The upstream answered, and its answer was no. */
+  /** The upstream answered with a refusal. */
   readonly refused: boolean
-  /** The upstream could not be reached or fell silent, as opposed to answering wrongly. */
+  /** The upstream could not be reached or became unresponsive, as opposed to sending an invalid answer. */
   readonly unreachable: boolean
 
-  /** The upstream answered that it ran the request and failed. */
+  /** The upstream answered that it ran the request and that the request failed. */
   readonly failed: boolean
 
-  /** The upstream was sent the request, and its answer broke off or did not come. */
+  /** The request was sent, and the answer was interrupted or did not arrive. */
   get brokeOff (): boolean {
     return this.verdict === Verdict.MayHaveRun && !this.refused && !this.failed
   }
--- a/upstream/client/src/upstreamProbe.ts
+++ b/upstream/client/src/upstreamProbe.ts
@@ -1,15 +1,15 @@
-/** What an upstream's address answers to an attempt to connect. */
-export enum UpstreamPresence {
-  /** Something takes connections there: the upstream, or whoever has the address now. */
+/** Result of a connection attempt to an upstream's address. */
+export enum UpstreamProbeResult {
+  /** A process accepts connections: the upstream, or another process that has since taken the address. */
   Listens = 'listens',
-  /** The machine runs, and no process listens: the upstream's has ended. */
+  /** The machine is up but no process listens: the upstream's process has exited. */
   Refuses = 'refuses',
-  /** No answer, which says nothing of the upstream. */
+  /** No answer. The state of the upstream is unknown. */
   Silent = 'silent',
 }
 
-/** Asks whether anything listens at an upstream's address. */
+/** Checks whether a process listens at an upstream's address. */
 export abstract class UpstreamProbe {
   /** Never throws. */
-  abstract look (address: string): Promise<UpstreamPresence>
+  abstract look (address: string): Promise<UpstreamProbeResult>
 }
--- a/upstream/client/src/upstreamSignals.ts
+++ b/upstream/client/src/upstreamSignals.ts
@@ -1,4 +1,4 @@
-/** A rate limit that a response advertises, for all boxes together. */
+/** A rate limit that a response advertises. It applies to all boxes together. */
 export interface AdvertisedRateLimit {
   /** Requests a second. Undefined when the advertised value cannot be parsed. */
   perSecond?: number
@@ -14,7 +14,7 @@
   text: string
 }
 
-/** A time for which a refusal asks its sender to send nothing more. */
+/** Time for which a refusal asks the sender to send no more requests. */
 export interface AdvertisedBackoff {
   /** Undefined when the advertised value cannot be parsed. */
   durationMs?: number
@@ -22,15 +22,15 @@
   text: string
 }
 
-/** What the head of a response advertises about its upstream, whatever its status. */
+/** Signals about an upstream in the head of a response, whatever its status. */
 export interface UpstreamSignals {
   succeeded: boolean
   /** Undefined when no limit is advertised. */
   rateLimit?: AdvertisedRateLimit
   /** Undefined when the response does not mention it. */
   draining?: AdvertisedDraining
-  /** Undefined when the response is no refusal, or asks for no wait. */
+  /** Undefined if the response is not a refusal or asks for no backoff. */
   backoff?: AdvertisedBackoff
-  /** Names of headers about the upstream that are not understood. */
+  /** Names of unknown headers in the upstream's namespace. */
   unknownHeaders?: readonly string[]
 }
--- a/upstream/health/src/index.ts
+++ b/upstream/health/src/index.ts
@@ -1,4 +1,4 @@
 export { UpstreamHealth } from './upstreamHealth.js'
 export type { UpstreamHealthOptions } from './upstreamHealth.js'
-export { UpstreamReports } from './upstreamReports.js'
-export type { UpstreamReport } from './upstreamReports.js'
+export { UpstreamFailureReports as UpstreamReports } from './upstreamFailureReports.js'
+export type { UpstreamFailureReport as UpstreamReport } from './upstreamFailureReports.js'
--- a/upstream/health/src/upstreamHealth.ts
+++ b/upstream/health/src/upstreamHealth.ts
@@ -7,99 +7,99 @@
   onTrusted?: (upstream: string) => void
 }
 
-interface Standing {
-  /** Weighted sum of late failures. */
-  failures: number
-  /** The same sum if each outcome had been a failure. */
-  weight: number
+interface OutcomeStats {
+  /** Exponentially weighted sum of recent failures. */
+  weightedFailures: number
+  /** The same sum with every outcome counted as a failure. */
+  totalWeight: number
   outcomes: number
   suspectUntilMs: number
   suspectForMs: number
 }
 
-/** Weight of one outcome in the share of failures: some ten outcomes are remembered. */
+/** EWMA weight of one outcome in the failure share: about the last ten outcomes count. */
 const SMOOTHING = 0.1
-/** Outcomes before the share is believed. */
-const FEWEST_OUTCOMES = 4
-/** An upstream fails when it does so this much more often than the best of its pool. Some services fail a tenth of their requests by nature. */
+/** Outcomes needed before the failure share is considered. */
+const MIN_OUTCOMES = 4
+/** An upstream is suspected when its failure share exceeds the lowest of its pool by this margin. Some services normally fail a tenth of their requests. */
 const FAILURE_MARGIN = 0.3
-/** Doubled each time: a passing fault costs little capacity, a lasting one few requests. */
-const FIRST_SUSPICION_MS = 1000
-const LONGEST_SUSPICION_MS = 8000
+/** Doubled on each suspicion: a transient fault costs little capacity, a lasting one few requests. */
+const INITIAL_SUSPICION_MS = 1000
+const MAX_SUSPICION_MS = 8000
 
-/** What was seen of upstreams' failures of late. Suspicion is a reason to go elsewhere, not a proof. */
+/** Tracks recent outcomes of upstreams and suspects those that fail. Suspicion is a reason to prefer other upstreams; it does not prove a failure. */
 export class UpstreamHealth {
   readonly #opts: UpstreamHealthOptions
-  readonly #standings = new Map<string, Standing>()
+  readonly #stats = new Map<string, OutcomeStats>()
 
   constructor (opts: UpstreamHealthOptions) {
     this.#opts = opts
   }
 
   note (upstream: string, outcome: UpstreamOutcome, pool: readonly string[]): void {
-    const standing = this.#standing(upstream)
+    const stats = this.#statsOf(upstream)
     const failed = outcome === UpstreamOutcome.Answered ? 0 : 1
-    standing.failures += SMOOTHING * (failed - standing.failures)
-    standing.weight += SMOOTHING * (1 - standing.weight)
-    standing.outcomes++
-    if (outcome === UpstreamOutcome.Answered) this.#trust(upstream, standing)
-    else if (outcome === UpstreamOutcome.Unreachable || this.#failsMore(upstream, standing, pool)) this.#suspect(upstream, standing)
+    stats.weightedFailures += SMOOTHING * (failed - stats.weightedFailures)
+    stats.totalWeight += SMOOTHING * (1 - stats.totalWeight)
+    stats.outcomes++
+    if (outcome === UpstreamOutcome.Answered) this.#endSuspicion(upstream, stats)
+    else if (outcome === UpstreamOutcome.Unreachable || this.#failsMoreThanPool(upstream, stats, pool)) this.#suspect(upstream, stats)
   }
 
   isSuspect (upstream: string): boolean {
-    const standing = this.#standings.get(upstream)
-    return standing !== undefined && standing.suspectUntilMs > this.#opts.clock.nowMs()
+    const stats = this.#stats.get(upstream)
+    return stats !== undefined && stats.suspectUntilMs > this.#opts.clock.nowMs()
   }
 
-  /** All that are suspected now. */
+  /** All upstreams that are suspected now. */
   suspects (): string[] {
-    return [...this.#standings.keys()].filter((upstream) => this.isSuspect(upstream))
+    return [...this.#stats.keys()].filter((upstream) => this.isSuspect(upstream))
   }
 
-  /** Forgets upstreams that are listed no more. */
+  /** Removes upstreams that are no longer listed. */
   retain (listed: ReadonlySet<string>): void {
-    [...this.#standings.keys()].filter((upstream) => !listed.has(upstream)).forEach((upstream) => this.#standings.delete(upstream))
+    [...this.#stats.keys()].filter((upstream) => !listed.has(upstream)).forEach((upstream) => this.#stats.delete(upstream))
   }
 
   /** State for the dump. */
   describe () {
     const nowMs = this.#opts.clock.nowMs()
-    return [...this.#standings].map(([upstream, standing]) => ({
+    return [...this.#stats].map(([upstream, stats]) => ({
       upstream,
-      failureShare: Number(failureShare(standing).toFixed(2)),
-      suspectForMs: Math.max(0, Math.round(standing.suspectUntilMs - nowMs)),
+      failureShare: Number(failureShare(stats).toFixed(2)),
+      suspectForMs: Math.max(0, Math.round(stats.suspectUntilMs - nowMs)),
     }))
   }
 
-  #failsMore (upstream: string, standing: Standing, pool: readonly string[]): boolean {
-    const others = pool.filter((name) => name !== upstream).map((name) => failureShare(this.#standings.get(name)))
-    return standing.outcomes >= FEWEST_OUTCOMES && failureShare(standing) > FAILURE_MARGIN + Math.min(...others, 1)
+  #failsMoreThanPool (upstream: string, stats: OutcomeStats, pool: readonly string[]): boolean {
+    const others = pool.filter((name) => name !== upstream).map((name) => failureShare(this.#stats.get(name)))
+    return stats.outcomes >= MIN_OUTCOMES && failureShare(stats) > FAILURE_MARGIN + Math.min(...others, 1)
   }
 
-  #suspect (upstream: string, standing: Standing): void {
+  #suspect (upstream: string, stats: OutcomeStats): void {
     const nowMs = this.#opts.clock.nowMs()
-    if (standing.suspectUntilMs > nowMs) return
-    standing.suspectForMs = Math.min(LONGEST_SUSPICION_MS, Math.max(FIRST_SUSPICION_MS, 2 * standing.suspectForMs))
-    standing.suspectUntilMs = nowMs + standing.suspectForMs
-    this.#opts.onSuspected?.(upstream, standing.suspectForMs, failureShare(standing))
+    if (stats.suspectUntilMs > nowMs) return
+    stats.suspectForMs = Math.min(MAX_SUSPICION_MS, Math.max(INITIAL_SUSPICION_MS, 2 * stats.suspectForMs))
+    stats.suspectUntilMs = nowMs + stats.suspectForMs
+    this.#opts.onSuspected?.(upstream, stats.suspectForMs, failureShare(stats))
   }
 
-  #trust (upstream: string, standing: Standing): void {
-    if (standing.suspectForMs === 0 || standing.suspectUntilMs > this.#opts.clock.nowMs()) return
-    standing.suspectForMs = 0
+  #endSuspicion (upstream: string, stats: OutcomeStats): void {
+    if (stats.suspectForMs === 0 || stats.suspectUntilMs > this.#opts.clock.nowMs()) return
+    stats.suspectForMs = 0
     this.#opts.onTrusted?.(upstream)
   }
 
-  #standing (upstream: string): Standing {
-    const known = this.#standings.get(upstream)
+  #statsOf (upstream: string): OutcomeStats {
+    const known = this.#stats.get(upstream)
     if (known) return known
-    const standing = { failures: 0, weight: 0, outcomes: 0, suspectUntilMs: 0, suspectForMs: 0 }
-    this.#standings.set(upstream, standing)
-    return standing
+    const stats = { weightedFailures: 0, totalWeight: 0, outcomes: 0, suspectUntilMs: 0, suspectForMs: 0 }
+    this.#stats.set(upstream, stats)
+    return stats
   }
 }
 
-/** Part of late outcomes that were failures, as if one more had been none: the first ones prove little. */
-function failureShare (standing?: Standing): number {
-  return standing ? standing.failures / (standing.weight + SMOOTHING) : 0
+/** Share of recent outcomes that were failures. One extra success is assumed, since the first outcomes have little significance. */
+function failureShare (stats?: OutcomeStats): number {
+  return stats ? stats.weightedFailures / (stats.totalWeight + SMOOTHING) : 0
 }
--- a/upstream/health/test/upstreamReports.ts
+++ b/upstream/health/test/upstreamFailureReports.ts
@@ -13,7 +13,7 @@
   return { clock, reports: new UpstreamReports({ clock }) }
 }
 
-test('an upstream that two boxes report at about the same time is passed over for a second', async (t) => {
+test('an upstream that two boxes report at about the same time is avoided for a second', async (t) => {
   const { clock, reports } = createReports()
   reports.add(report('box-1'))
   t.false(reports.isFailing('desk-1'))
@@ -27,7 +27,7 @@
   t.false(reports.isFailing('desk-1'))
 })
 
-test('one box alone is not believed, however often it reports', async (t) => {
+test('reports of a single box are not sufficient, however many there are', async (t) => {
   const { clock, reports } = createReports()
   for (let i = 0; i < 10; i++) {
     reports.add(report('box-1'))
@@ -36,7 +36,7 @@
   t.false(reports.isFailing('desk-1'))
 })
 
-test('reports that lie apart do not agree: answers are lost now and then', async (t) => {
+test('reports far apart in time do not agree, since single answers are lost occasionally', async (t) => {
   const { clock, reports } = createReports()
   for (const box of ['box-1', 'box-2', 'box-3', 'box-4']) {
     reports.add(report(box))
@@ -45,7 +45,7 @@
   t.false(reports.isFailing('desk-1'))
 })
 
-test('what was under way counts from when it was seen, and is new once', async (t) => {
+test('a delayed report counts from the time of the failure, and is added once', async (t) => {
   const { clock, reports } = createReports()
   const first = report('box-1', { ageMs: 140 })
   t.true(reports.add(first))
@@ -57,7 +57,7 @@
   t.false(reports.add(report('box-3', { ageMs: 6000 })))
 })
 
-test('of one upstream two reports a second are told on at most, and none once boxes agree', async (t) => {
+test('at most two reports per second are broadcast for one upstream, and none once boxes agree', async (t) => {
   const { clock, reports } = createReports()
   t.true(reports.add(report('box-1')))
   await clock.advance(200)
--- a/upstream/health/test/upstreamHealth.ts
+++ b/upstream/health/test/upstreamHealth.ts
@@ -10,7 +10,7 @@
   return { clock, health: new UpstreamHealth({ clock }) }
 }
 
-test('an upstream that cannot be reached is suspected at once, and longer each time', async (t) => {
+test('an unreachable upstream is suspected at once, and for longer each time', async (t) => {
   const { clock, health } = createHealth()
   health.note('a', UpstreamOutcome.Unreachable, POOL)
   t.true(health.isSuspect('a'))
@@ -26,7 +26,7 @@
   t.false(health.isSuspect('a'))
 })
 
-test('failures that all upstreams of a pool share are no reason for suspicion', (t) => {
+test('failures common to all upstreams of a pool cause no suspicion', (t) => {
   const { health } = createHealth()
   for (let i = 0; i < 60; i++) POOL.forEach((name) => health.note(name, i % 3 === 0 ? UpstreamOutcome.Failed : UpstreamOutcome.Answered, POOL))
   t.deepEqual(health.suspects(), [])
@@ -42,14 +42,14 @@
   t.deepEqual(health.suspects(), ['a'])
 })
 
-test('a few failures in a row suffice where the others have none', (t) => {
+test('a few consecutive failures are sufficient if the other upstreams have none', (t) => {
   const { health } = createHealth()
   for (let i = 0; i < 4; i++) health.note('a', i % 2 === 0 ? UpstreamOutcome.Failed : UpstreamOutcome.Answered, POOL)
   health.note('a', UpstreamOutcome.Failed, POOL)
   t.deepEqual(health.suspects(), ['a'])
 })
 
-test('upstreams that are listed no more are forgotten', (t) => {
+test('upstreams that are no longer listed are removed', (t) => {
   const { health } = createHealth()
   POOL.forEach((name) => health.note(name, UpstreamOutcome.Unreachable, POOL))
   health.retain(new Set(['b']))
--- a/upstream/holds/src/holdSweeper.ts
+++ b/upstream/holds/src/holdSweeper.ts
@@ -6,11 +6,11 @@
   clock: Clock
   link: PeerLink
   engines: EngineClient
-  /** Whether an incarnation is known to be gone for good. */
+  /** Whether an incarnation is known to be gone permanently. */
   isGone: (incarnation: string) => boolean
-  /** Whether a hold belongs to a reservation that still counts, so that its owner need not be asked. */
+  /** Whether a hold belongs to an active reservation, so that its owner need not be asked. */
   isAccounted: (label: HoldLabel) => boolean
-  /** Answers for requests of this box's own incarnations. Nothing when the incarnation is another's. */
+  /** Returns which requests of an incarnation of this box still run; undefined for incarnations of other boxes. */
   vouchHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
   vouchTimeoutMs: number
   releaseTimeoutMs: number
@@ -18,74 +18,74 @@
 }
 
 export enum ReleaseReason {
-  /** The owner's process is gone. */
+  /** The owner's process has exited. */
   OwnerGone = 'ownerGone',
-  /** The owner lives and says that the request is over. */
-  NotVouched = 'notVouched',
-  /** The owner cannot be asked, and the longest duration of the label has passed. */
-  Lapsed = 'lapsed',
+  /** The owner is alive and does not confirm that the request still runs. */
+  NotConfirmed = 'notVouched',
+  /** The owner cannot be reached, and the maximum hold time of the label has passed. */
+  Expired = 'lapsed',
 }
 
-interface Judgement {
+interface ReleaseDecision {
   release: boolean
   reason: ReleaseReason
 }
 
-/** Compares an engine's own list of holds with what owners vouch for, and releases the rest. */
+/** Releases the holds reported by an engine that their owners do not confirm. */
 export class HoldSweeper {
   readonly #opts: HoldSweeperOptions
-  /** When each hold was first seen, on this box's clock. */
+  /** When each hold was first seen, by this box's clock. */
   readonly #firstSeenMs = new Map<string, number>()
 
   constructor (opts: HoldSweeperOptions) {
     this.#opts = opts
   }
 
-  /** Checks one engine's holds. Resolves once those to release were released or could not be. */
+  /** Checks the holds of one engine. Resolves once each release has succeeded or failed. */
   async sweep (engine: { name: string, address: string }, allHolds: readonly EngineHold[]): Promise<void> {
-    // Old scripts may use the engine beside reelspan: what they hold is theirs.
+    // Other clients, such as scripts, may use the engine directly; their holds are left alone.
     const holds = allHolds.filter(({ label }) => isOwnLabel(label))
-    this.#noteSeen(engine.name, holds)
+    this.#recordSeen(engine.name, holds)
     const byOwner = new Map<string, EngineHold[]>()
     holds.forEach((hold) => byOwner.set(hold.label.ownerIncarnation, [...byOwner.get(hold.label.ownerIncarnation) ?? [], hold]))
-    await Promise.all([...byOwner.values()].map(async (ofOwner) => {
-      const judgements = await this.#judge(engine.name, ofOwner)
-      await Promise.all(ofOwner.map(async (hold, i) => {
-        if (judgements[i].release) await this.#release(engine, hold, judgements[i].reason)
+    await Promise.all([...byOwner.values()].map(async (ownerHolds) => {
+      const decisions = await this.#decide(engine.name, ownerHolds)
+      await Promise.all(ownerHolds.map(async (hold, i) => {
+        if (decisions[i].release) await this.#release(engine, hold, decisions[i].reason)
       }))
     }))
   }
 
-  async #judge (engineName: string, ofOwner: readonly EngineHold[]): Promise<Judgement[]> {
-    const { ownerIncarnation, ownerAddress } = ofOwner[0].label
-    if (this.#opts.isGone(ownerIncarnation)) return ofOwner.map(() => ({ release: true, reason: ReleaseReason.OwnerGone }))
-    const doubtful = ofOwner.filter(({ label }) => !this.#opts.isAccounted(label))
-    if (doubtful.length === 0) return ofOwner.map(() => ({ release: false, reason: ReleaseReason.NotVouched }))
-    const vouched = await this.#askOwner(ownerAddress, ownerIncarnation, ofOwner.map(({ label }) => label.requestId))
-    if (vouched) return ofOwner.map(({ label }) => ({ release: !vouched.has(label.requestId), reason: ReleaseReason.NotVouched }))
-    return ofOwner.map(({ label }) => ({ release: this.#hasLapsed(engineName, label), reason: ReleaseReason.Lapsed }))
+  async #decide (engineName: string, ownerHolds: readonly EngineHold[]): Promise<ReleaseDecision[]> {
+    const { ownerIncarnation, ownerAddress } = ownerHolds[0].label
+    if (this.#opts.isGone(ownerIncarnation)) return ownerHolds.map(() => ({ release: true, reason: ReleaseReason.OwnerGone }))
+    const unreserved = ownerHolds.filter(({ label }) => !this.#opts.isAccounted(label))
+    if (unreserved.length === 0) return ownerHolds.map(() => ({ release: false, reason: ReleaseReason.NotConfirmed }))
+    const confirmed = await this.#askOwner(ownerAddress, ownerIncarnation, ownerHolds.map(({ label }) => label.requestId))
+    if (confirmed) return ownerHolds.map(({ label }) => ({ release: !confirmed.has(label.requestId), reason: ReleaseReason.NotConfirmed }))
+    return ownerHolds.map(({ label }) => ({ release: this.#hasExpired(engineName, label), reason: ReleaseReason.Expired }))
   }
 
-  /** Answers nothing when the owner could not be asked. */
+  /** Returns the confirmed request IDs, or undefined if the owner could not be asked. */
   async #askOwner (address: string, ownerIncarnation: string, requestIds: string[]): Promise<Set<string> | undefined> {
-    const { link, vouchHere, vouchTimeoutMs } = this.#opts
-    const here = vouchHere(ownerIncarnation, requestIds)
-    if (here) return new Set(here)
-    // The link tells of a failure; the hold is then left until its label lapses.
-    const answer = await link.call(address, { type: MessageType.Vouch, ownerIncarnation, requestIds }, { timeoutMs: vouchTimeoutMs, repeatable: true }).catch(() => undefined)
-    // Another incarnation at the address cannot speak for this one.
-    const speaks = answer?.type === MessageType.Vouched && answer.ownerIncarnation === ownerIncarnation
-    return speaks ? new Set(answer.requestIds) : undefined
+    const { link, vouchHere: confirmRunningHere, vouchTimeoutMs: confirmTimeoutMs } = this.#opts
+    const confirmedLocally = confirmRunningHere(ownerIncarnation, requestIds)
+    if (confirmedLocally) return new Set(confirmedLocally)
+    // The link logs the failure. The hold is kept until its label expires.
+    const answer = await link.call(address, { type: MessageType.Vouch, ownerIncarnation, requestIds }, { timeoutMs: confirmTimeoutMs, repeatable: true }).catch(() => undefined)
+    // An answer from another incarnation at the address is ignored.
+    const isFromOwner = answer?.type === MessageType.Vouched && answer.ownerIncarnation === ownerIncarnation
+    return isFromOwner ? new Set(answer.requestIds) : undefined
   }
 
-  #hasLapsed (engineName: string, label: HoldLabel): boolean {
-    const firstSeenMs = this.#firstSeenMs.get(seenKey(engineName, label))
+  #hasExpired (engineName: string, label: HoldLabel): boolean {
+    const firstSeenMs = this.#firstSeenMs.get(holdKey(engineName, label))
     return firstSeenMs !== undefined && this.#opts.clock.nowMs() - firstSeenMs >= label.maxHoldMs
   }
 
-  #noteSeen (engineName: string, holds: readonly EngineHold[]): void {
+  #recordSeen (engineName: string, holds: readonly EngineHold[]): void {
     const nowMs = this.#opts.clock.nowMs()
-    const present = new Set(holds.map(({ label }) => seenKey(engineName, label)))
+    const present = new Set(holds.map(({ label }) => holdKey(engineName, label)))
     this.#firstSeenMs.forEach((_, key) => {
       if (key.startsWith(`${engineName} `) && !present.has(key)) this.#firstSeenMs.delete(key)
     })
@@ -98,12 +98,12 @@
     const { engines, releaseTimeoutMs, onRelease } = this.#opts
     await engines.release(engine.address, hold.label, { timeoutMs: releaseTimeoutMs }).then(
       () => onRelease?.(engine.name, hold, reason),
-      // The client tells of a failure; the engine's next report has the hold again.
+      // The client logs the failure. The engine's next report contains the hold again.
       () => {}
     )
   }
 }
 
-function seenKey (engineName: string, label: HoldLabel): string {
+function holdKey (engineName: string, label: HoldLabel): string {
   return `${engineName} ${holdLabelKey(label)}`
 }
--- a/upstream/holds/test/holdSweeper.ts
+++ b/upstream/holds/test/holdSweeper.ts
@@ -12,7 +12,7 @@
 }
 
 interface SweepOptions {
-  /** What the owner's address answers. */
+  /** Answer of the owner's address. */
   answer: () => Promise<PeerMessage>
   over?: Partial<HoldSweeperOptions>
 }
@@ -35,21 +35,21 @@
 }
 
 const unreachable = async () => { throw new PeerLinkError('cut', { mayHaveArrived: false }) }
-const vouched = (requestIds: string[], ownerIncarnation = OWNER) => async (): Promise<PeerMessage> => ({ type: MessageType.Vouched, ownerIncarnation, requestIds })
+const confirmed = (requestIds: string[], ownerIncarnation = OWNER) => async (): Promise<PeerMessage> => ({ type: MessageType.Vouched, ownerIncarnation, requestIds })
 
-test('what the owner does not vouch for is released', async (t) => {
-  const { sweeper, released } = createSweeper({ answer: vouched(['a']) })
+test('holds that the owner does not confirm are released', async (t) => {
+  const { sweeper, released } = createSweeper({ answer: confirmed(['a']) })
   await sweeper.sweep(ENGINE, [hold('a'), hold('b')])
   t.deepEqual(released, ['b'])
 })
 
-test('what a gone owner held is released without asking', async (t) => {
+test('holds of an owner that is gone are released without asking it', async (t) => {
   const { sweeper, released } = createSweeper({ answer: unreachable, over: { isGone: () => true } })
   await sweeper.sweep(ENGINE, [hold('a')])
   t.deepEqual(released, ['a'])
 })
 
-test('what an unreachable owner holds is kept for the label\'s longest time, from when it was first seen', async (t) => {
+test('a hold of an unreachable owner is kept for the maximum hold time of its label, from when it was first seen', async (t) => {
   const { clock, sweeper, released } = createSweeper({ answer: unreachable })
   await sweeper.sweep(ENGINE, [hold('a')])
   await clock.advance(4999)
@@ -60,14 +60,14 @@
   t.deepEqual(released, ['a'])
 })
 
-test('another process at the owner\'s address does not speak for it', async (t) => {
-  const { sweeper, released } = createSweeper({ answer: vouched([], 'fedcba9876543210') })
+test('the answer of another process at the owner\'s address is ignored', async (t) => {
+  const { sweeper, released } = createSweeper({ answer: confirmed([], 'fedcba9876543210') })
   await sweeper.sweep(ENGINE, [hold('a')])
   t.deepEqual(released, [])
 })
 
-test('what something else beside reelspan holds is left alone', async (t) => {
-  const { clock, sweeper, released } = createSweeper({ answer: vouched([]) })
+test('holds of other clients of the engine are left alone', async (t) => {
+  const { clock, sweeper, released } = createSweeper({ answer: confirmed([]) })
   const scripts = [hold('a', { ownerIncarnation: 'nightly-script', maxHoldMs: 1 })]
   await sweeper.sweep(ENGINE, scripts)
   await clock.advance(10_000)
--- a/upstream/limits/src/permitMessages.ts
+++ b/upstream/limits/src/permitMessages.ts
@@ -1,11 +1,11 @@
 import { type UpstreamStateUpdate, MessageType, type PeerMessage } from '@reelspan/core.messages'
 import { type LimitedCost, LimitMessages } from '@reelspan/membership.limits'
 
-/** How boxes speak of permits for upstreams that name a limit. */
+/** Messages between boxes about permits for upstreams that advertise a limit. */
 export class PermitMessages extends LimitMessages {
   readonly #updateOf: (upstream: string) => UpstreamStateUpdate | undefined
 
-  /** @param updateOf what is known here, so that a home that has not heard counts from the first question on */
+  /** @param updateOf the known state of an upstream, sent along so that a coordinator that has not received it applies the limit from the first request */
   constructor (updateOf: (upstream: string) => UpstreamStateUpdate | undefined) {
     super()
     this.#updateOf = updateOf
--- a/upstream/limits/src/sendPermit.ts
+++ b/upstream/limits/src/sendPermit.ts
@@ -1,23 +1,23 @@
-/** Why an upstream may not be sent a request now. */
+/** Why a request may not be sent to an upstream now. */
 export enum WaitReason {
-  /** It has got as many requests as it takes for now, from all boxes together. */
+  /** The boxes together have reached the rate limit of the upstream. */
   RateLimit = 'rateLimit',
-  /** It asked this box to wait. */
+  /** The upstream asked this box to back off. */
   Backoff = 'backoff',
 }
 
-/** A wait until an upstream may be sent a request. */
+/** Time to wait until a request may be sent to an upstream. */
 export interface SendWait {
   reason: WaitReason
   durationMs: number
 }
 
-/** What a box needs to send an upstream one request, or how long it would have to wait for it. */
+/** Permission to send one request to an upstream, or the time to wait for it. */
 export class SendPermit {
   /** Undefined when the request may be sent. */
   readonly wait?: SendWait
   readonly #onUnused?: () => void
-  #over = false
+  #settled = false
 
   constructor ({ wait, onUnused }: { wait?: SendWait, onUnused?: () => void } = {}) {
     this.wait = wait
@@ -28,20 +28,20 @@
     return this.wait === undefined
   }
 
-  /** The upstream names a limit, so that another box may have been asked. */
+  /** The upstream advertises a limit, so another box may have been asked for the permit. */
   get limited (): boolean {
     return this.#onUnused !== undefined || this.wait?.reason === WaitReason.RateLimit
   }
 
-  /** The request is about to reach the upstream. */
+  /** Called when the request is about to be sent. The permit is then used up. */
   noteSent (): void {
-    this.#over = true
+    this.#settled = true
   }
 
-  /** The request does not go there any more. If it has not been sent, another one may. */
+  /** Called when the request will not be sent to this upstream any more. A permit that was not used becomes available again. */
   release (): void {
-    if (this.#over) return
-    this.#over = true
+    if (this.#settled) return
+    this.#settled = true
     this.#onUnused?.()
   }
 }
--- a/upstream/limits/src/sendPermits.ts
+++ b/upstream/limits/src/sendPermits.ts
@@ -12,20 +12,23 @@
   metrics: Metrics
 }
 
-/** A permit may be given back meanwhile, so that a long wait is asked about again. */
-const LONGEST_REFUSAL_MS = 1000
+/** Maximum time for which a refusal is cached: a permit may be released in the meantime. */
+const MAX_REFUSAL_CACHE_MS = 1000
 
-/** An upstream had no permit left. */
+/** A cached refusal: the upstream had no permit left. */
 interface Refusal {
-  /** The limit at that time. */
+  /** The limit at the time of the refusal. */
   perSecond: number
-  /** When there is one, as far as is known. */
-  dueAtMs: number
-  /** Nobody is asked before. */
-  askAgainAtMs: number
+  /** When a permit is expected to be available. */
+  availableAtMs: number
+  /** The limiter is not asked again before this time. */
+  recheckAtMs: number
 }
 
-/** Permits to send upstreams requests. There is none while this box backs off, and without a limit no other box is asked. */
+/**
+ * Grants permits to send requests to upstreams. While this box backs off from an upstream no permit is granted; for an
+ * upstream without a limit a permit is granted without asking another box.
+ */
 export class SendPermits {
   readonly #opts: SendPermitsOptions
   readonly #refusals = new Map<string, Refusal>()
@@ -34,31 +37,31 @@
     this.#opts = opts
   }
 
-  /** A permit for one request, granted or not. */
+  /** Requests a permit for one request. The permit may be refused. */
   async take (upstream: string): Promise<SendPermit> {
-    const { clock, limits, backoffs, limiter, metrics } = this.#opts
+    const { clock, limits: states, backoffs, limiter, metrics } = this.#opts
     const backoffMs = backoffs.remainingMs(upstream)
     if (backoffMs > 0) return new SendPermit({ wait: { reason: WaitReason.Backoff, durationMs: backoffMs } })
-    const perSecond = limits.perSecond(upstream)
+    const perSecond = states.perSecond(upstream)
     if (perSecond === undefined) return new SendPermit()
-    this.#forgetOld()
-    const refusal = this.#refusals.get(upstream)
-    if (refusal) return atLimit(refusal.dueAtMs - clock.nowMs())
-    const taken = { name: upstream, cost: 1 }
-    const waitMs = await limiter.take(taken)
+    this.#expireRefusals()
+    const cachedRefusal = this.#refusals.get(upstream)
+    if (cachedRefusal) return atLimit(cachedRefusal.availableAtMs - clock.nowMs())
+    const permitCost = { name: upstream, cost: 1 }
+    const waitMs = await limiter.take(permitCost)
     metrics.count('reelspan_limit_permits_total', { outcome: waitMs === 0 ? 'granted' : 'refused' })
-    if (waitMs === 0) return new SendPermit({ onUnused: () => limiter.giveBack(taken) })
+    if (waitMs === 0) return new SendPermit({ onUnused: () => limiter.giveBack(permitCost) })
     const nowMs = clock.nowMs()
-    this.#refusals.set(upstream, { perSecond, dueAtMs: nowMs + waitMs, askAgainAtMs: nowMs + Math.min(waitMs, LONGEST_REFUSAL_MS) })
+    this.#refusals.set(upstream, { perSecond, availableAtMs: nowMs + waitMs, recheckAtMs: nowMs + Math.min(waitMs, MAX_REFUSAL_CACHE_MS) })
     return atLimit(waitMs)
   }
 
-  /** Refusals that were long enough ago, or under another limit. */
-  #forgetOld (): void {
-    const { clock, limits } = this.#opts
+  /** Removes cached refusals that have expired or were made under a different limit. */
+  #expireRefusals (): void {
+    const { clock, limits: states } = this.#opts
     const nowMs = clock.nowMs()
-    const isOld = ([upstream, { perSecond, askAgainAtMs }]: [string, Refusal]) => nowMs >= askAgainAtMs || limits.perSecond(upstream) !== perSecond;
-    [...this.#refusals].filter(isOld).forEach(([upstream]) => this.#refusals.delete(upstream))
+    const isExpired = ([upstream, { perSecond, recheckAtMs }]: [string, Refusal]) => nowMs >= recheckAtMs || states.perSecond(upstream) !== perSecond;
+    [...this.#refusals].filter(isExpired).forEach(([upstream]) => this.#refusals.delete(upstream))
   }
 }
 
--- a/upstream/limits/test/sendPermits.ts
+++ b/upstream/limits/test/sendPermits.ts
@@ -6,20 +6,20 @@
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
-/** Grants a number of costs, and counts what was asked and given back. */
+/** Grants a number of costs, and counts acquire and release calls. */
 class CountingLimiter extends SharedLimiter {
-  asked = 0
-  givenBack = 0
+  acquireCount = 0
+  releaseCount = 0
   left = 1
   waitMs = 400
 
   async take (_taken: LimitedCost): Promise<number> {
-    this.asked++
+    this.acquireCount++
     return this.left-- > 0 ? 0 : this.waitMs
   }
 
   giveBack (): void {
-    this.givenBack++
+    this.releaseCount++
   }
 }
 
@@ -32,15 +32,15 @@
   return { clock, limiter, limits, backoffs, name, permits: new SendPermits({ clock, limits, backoffs, limiter, metrics: new Metrics() }) }
 }
 
-test('an upstream that names no limit needs nobody\'s permit', async (t) => {
+test('an upstream without a limit needs no permit from the limiter', async (t) => {
   const { limiter, permits } = create()
   t.true((await permits.take('a')).granted)
-  t.is(limiter.asked, 0)
+  t.is(limiter.acquireCount, 0)
 })
 
-test('a permit is given back once, and only if it was granted and nothing was sent', async (t) => {
-  const { limiter, name, permits } = create()
-  name(2)
+test('a permit is released once, and only if it was granted and nothing was sent', async (t) => {
+  const { limiter, name: advertise, permits } = create()
+  advertise(2)
   limiter.left = 2
   const [sent, unsent, refused] = [await permits.take('a'), await permits.take('a'), await permits.take('a')]
   sent.noteSent()
@@ -49,26 +49,26 @@
     permit.release()
     permit.release()
   })
-  t.is(limiter.givenBack, 1)
+  t.is(limiter.releaseCount, 1)
 })
 
-test('nobody is asked again before there can be a permit, unless the limit has changed', async (t) => {
+test('the limiter is not asked again before a permit can be available, unless the limit has changed', async (t) => {
   const { clock, limiter, name, permits } = create()
   name(2)
   limiter.left = 0
   t.is((await permits.take('a')).wait?.durationMs, 400)
   await clock.advance(100)
   t.is((await permits.take('a')).wait?.durationMs, 300)
-  t.is(limiter.asked, 1)
+  t.is(limiter.acquireCount, 1)
   await clock.advance(300)
   await permits.take('a')
-  t.is(limiter.asked, 2)
+  t.is(limiter.acquireCount, 2)
   name(3)
   await permits.take('a')
-  t.is(limiter.asked, 3)
+  t.is(limiter.acquireCount, 3)
 })
 
-test('a long wait is asked about again after a second, since a permit may have been given back', async (t) => {
+test('after a long refusal the limiter is asked again after a second, since a permit may have been released', async (t) => {
   const { clock, limiter, name, permits } = create()
   name(0.1)
   limiter.left = 0
@@ -76,21 +76,21 @@
   t.is((await permits.take('a')).wait?.durationMs, 9000)
   await clock.advance(500)
   t.is((await permits.take('a')).wait?.durationMs, 8500)
-  t.is(limiter.asked, 1)
+  t.is(limiter.acquireCount, 1)
   await clock.advance(501)
   await permits.take('a')
-  t.is(limiter.asked, 2)
+  t.is(limiter.acquireCount, 2)
 })
 
-test('while this box backs off from an upstream there is no permit, limit or not, and no other box is asked', async (t) => {
+test('while this box backs off from an upstream no permit is granted, with or without a limit, and no other box is asked', async (t) => {
   const { clock, limiter, name, permits, backoffs } = create()
   backoffs.start('a', 3000)
   t.deepEqual((await permits.take('a')).wait, { reason: WaitReason.Backoff, durationMs: 3000 })
   name(2)
   await clock.advance(1000)
   t.deepEqual((await permits.take('a')).wait, { reason: WaitReason.Backoff, durationMs: 2000 })
-  t.is(limiter.asked, 0)
+  t.is(limiter.acquireCount, 0)
   await clock.advance(2000)
   t.true((await permits.take('a')).granted)
-  t.is(limiter.asked, 1)
+  t.is(limiter.acquireCount, 1)
 })
--- a/upstream/signals/src/backoffs.ts
+++ b/upstream/signals/src/backoffs.ts
@@ -6,10 +6,10 @@
   log: Log
 }
 
-/** Longer waits are cut, so that a wrong value does not shut an upstream out for good. */
+/** Longer backoffs are capped, so that a wrong value does not exclude an upstream permanently. */
 const MAX_BACKOFF_MS = 300_000
 
-/** The upstreams that asked this box, and no other, to send nothing for a while. */
+/** Upstreams that asked this box to back off. The request applies to this box only. */
 export class Backoffs {
   readonly #opts: BackoffsOptions
   readonly #untilMs = new Map<string, number>()
@@ -18,13 +18,13 @@
     this.#opts = opts
   }
 
-  /** How many upstreams this box backs off from. */
+  /** Number of upstreams that this box backs off from. */
   get count (): number {
     this.#expire()
     return this.#untilMs.size
   }
 
-  /** Time until this box may send to an upstream again; 0 when it may now. */
+  /** Time until this box may send to an upstream again; 0 if it may send now. */
   remainingMs (upstream: string): number {
     return Math.max(0, (this.#untilMs.get(upstream) ?? 0) - this.#opts.clock.nowMs())
   }
@@ -40,7 +40,7 @@
     return this.upstreams().map((upstream) => ({ upstream, remainingMs: Math.round(this.remainingMs(upstream)) }))
   }
 
-  /** Records a wait that an upstream asked for. Of several that overlap the last to end counts. */
+  /** Records a backoff requested by an upstream. Of overlapping backoffs the one that ends last applies. */
   start (upstream: string, durationMs: number): void {
     const { clock, log } = this.#opts
     const waitMs = Math.min(durationMs, MAX_BACKOFF_MS)
--- a/upstream/signals/src/signalObserver.ts
+++ b/upstream/signals/src/signalObserver.ts
@@ -17,17 +17,17 @@
   Backoff = 'backoff',
 }
 
-/** Shortest time between log lines about one unreadable signal of one upstream. */
-const UNREADABLE_EVERY_MS = 60_000
-/** Part of an unreadable value that is logged. */
+/** Minimum interval between log lines about the same unreadable signal of an upstream. */
+const UNREADABLE_LOG_PERIOD_MS = 60_000
+/** Unreadable values are truncated to this length in the log. */
 const MAX_TEXT_LENGTH = 40
-/** Unreadable signals and unknown headers that are remembered. */
-const MAX_REMEMBERED = 1000
+/** Maximum number of unreadable signals, and of unknown headers, remembered for log deduplication. */
+const MAX_LOG_KEYS = 1000
 
-/** Takes in what every response advertises about its upstream, and logs what cannot be understood. */
+/** Records the signals that responses carry about their upstream, and logs those that cannot be parsed. */
 export class SignalObserver {
   readonly #opts: SignalObserverOptions
-  readonly #unreadableAtMs = new Map<string, number>()
+  readonly #unreadableLoggedAtMs = new Map<string, number>()
   readonly #unknownHeaders = new Set<string>()
 
   constructor (opts: SignalObserverOptions) {
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Records what a response to this box advertised.
+   * Records the signals of a response to this box.
    *
    * @param sentAtMs when its request was sent
    */
@@ -53,14 +53,14 @@
   #logUnreadable (upstream: string, signal: Signal, text: string): void {
     const key = `${upstream} ${signal}`
     const nowMs = this.#opts.clock.nowMs()
-    if (nowMs - (this.#unreadableAtMs.get(key) ?? Number.NEGATIVE_INFINITY) < UNREADABLE_EVERY_MS) return
-    if (this.#unreadableAtMs.size >= MAX_REMEMBERED) this.#unreadableAtMs.clear()
-    this.#unreadableAtMs.set(key, nowMs)
+    if (nowMs - (this.#unreadableLoggedAtMs.get(key) ?? Number.NEGATIVE_INFINITY) < UNREADABLE_LOG_PERIOD_MS) return
+    if (this.#unreadableLoggedAtMs.size >= MAX_LOG_KEYS) this.#unreadableLoggedAtMs.clear()
+    this.#unreadableLoggedAtMs.set(key, nowMs)
     this.#opts.log.warn(LogEvent.UpstreamSignalUnreadable, { upstream, signal, text: text.slice(0, MAX_TEXT_LENGTH) })
   }
 
   #logUnknown (upstream: string, header: string): void {
-    if (this.#unknownHeaders.has(header) || this.#unknownHeaders.size >= MAX_REMEMBERED) return
+    if (this.#unknownHeaders.has(header) || this.#unknownHeaders.size >= MAX_LOG_KEYS) return
     this.#unknownHeaders.add(header)
     this.#opts.log.warn(LogEvent.UpstreamHeaderUnknown, { upstream, header: header.slice(0, MAX_TEXT_LENGTH) })
   }
--- a/upstream/signals/src/upstreamStateMessages.ts
+++ b/upstream/signals/src/upstreamStateMessages.ts
@@ -1,13 +1,13 @@
 import { type UpstreamStateUpdate, MessageType, type PeerMessage } from '@reelspan/core.messages'
 import { NewsMessages } from '@reelspan/membership.prober'
 
-/** Messages that replicate advertised states between boxes. */
+/** Messages that replicate the advertised states of upstreams between boxes. */
 export class UpstreamStateMessages extends NewsMessages<UpstreamStateUpdate> {
   tell (updates: readonly UpstreamStateUpdate[]): PeerMessage {
     return { type: MessageType.UpstreamStatesTell, updates: [...updates] }
   }
 
-  /** Both sides may know something later than the other. */
+  /** Sends the known states along, since either side may have newer ones. */
   pull (known: readonly UpstreamStateUpdate[]): PeerMessage {
     return { type: MessageType.UpstreamStatesPull, updates: [...known] }
   }
--- a/upstream/signals/src/upstreamStates.ts
+++ b/upstream/signals/src/upstreamStates.ts
@@ -12,35 +12,35 @@
   isListed: (upstream: string) => boolean
   /** Called with a change that this box observed itself, for other boxes. */
   onChanged?: (update: UpstreamStateUpdate) => void
-  /** Called when an upstream is found to be draining, by whichever box. */
+  /** Called when an upstream starts draining, whichever box observed it. */
   onDraining?: () => void
 }
 
-/** What one upstream advertised last. */
+/** The state that an upstream advertised last. */
 interface AdvertisedState {
   /** Requests a second. Undefined when it no longer advertises a limit. */
   perSecond?: number
-  /** Final for this incarnation. */
+  /** Never reset for the same incarnation. */
   draining: boolean
   /** When the limit was last observed, on this box's clock. */
   observedAtMs: number
 }
 
-/** How long the state of an unlisted upstream is kept, since entries lapse while the platform is away. */
-const UNLISTED_LIFE_MS = 60_000
-/** How long the end of a limit is kept, so that an older update from a partitioned box does not restore it. */
-const ENDED_LIFE_MS = 60_000
+/** TTL of the state of an unlisted upstream. List entries may expire while the platform is unavailable. */
+const UNLISTED_TTL_MS = 60_000
+/** TTL of the record that a limit has ended, so that an older update from a partitioned box does not restore the limit. */
+const ENDED_LIMIT_TTL_MS = 60_000
 /** Above the number of upstreams of the largest planned deployment. */
-const MOST_KNOWN = 4000
+const MAX_UPSTREAMS = 4000
 
 /**
- * State that upstreams advertise in their responses, to this box or to any other. It belongs to one
- * incarnation of an upstream. Of limits the latest observation wins.
+ * States that upstreams advertise in their responses, as observed by any box. A state belongs to one
+ * incarnation of an upstream. The latest observation of a limit wins.
  */
 export class UpstreamStates extends NewsBook<UpstreamStateUpdate> {
   readonly #opts: UpstreamStatesOptions
   readonly #states = new Map<string, AdvertisedState>()
-  /** Some upstreams advertise another limit in each response. */
+  /** Limits broadcasts, since some upstreams advertise a different limit in each response. */
   readonly #broadcastRate = new TellRate()
   #digest = 0
   #drainingRevision = 0
@@ -55,25 +55,25 @@
   }
 
   get comparable (): boolean {
-    return this.#states.size < MOST_KNOWN
+    return this.#states.size < MAX_UPSTREAMS
   }
 
-  /** How many upstreams advertise a limit. */
+  /** Number of upstreams that advertise a limit. */
   get count (): number {
     return [...this.#states.values()].filter(({ perSecond }) => perSecond !== undefined).length
   }
 
-  /** How many upstreams advertise that they are draining. */
+  /** Number of upstreams that advertise that they are draining. */
   get drainingCount (): number {
     return [...this.#states.values()].filter(({ draining }) => draining).length
   }
 
-  /** Rises whenever another set of upstreams is draining. */
+  /** Incremented whenever the set of draining upstreams changes. */
   get drainingRevision (): number {
     return this.#drainingRevision
   }
 
-  /** Requests a second that an upstream takes from all boxes together; undefined where it advertises no limit. */
+  /** Rate limit of an upstream for all boxes together, in requests per second; undefined if it advertises none. */
   perSecond (upstream: string): number | undefined {
     return this.#states.get(upstream)?.perSecond
   }
@@ -83,7 +83,7 @@
     return this.#states.get(upstream)?.draining === true
   }
 
-  /** The state of an upstream, for other boxes. */
+  /** The state of an upstream as an update for other boxes. */
   updateOf (upstream: string): UpstreamStateUpdate | undefined {
     const state = this.#states.get(upstream)
     if (!state) return undefined
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Records what a response to this box advertised.
+   * Records the signals of a response to this box.
    *
    * @param sentAtMs when its request was sent
    */
@@ -105,11 +105,11 @@
     if (changed && update && this.mayTell(update)) this.#opts.onChanged?.(update)
   }
 
-  /** Records the observation of another box. Answers whether it changed the state. */
+  /** Records the observation of another box. Returns whether it changed the state. */
   add ({ upstream, perSecond, draining = false, ageMs }: UpstreamStateUpdate): boolean {
     const known = this.#states.get(upstream)
     if (!known && ((perSecond === undefined && !draining) || !this.comparable)) return false
-    if (ageMs > UNLISTED_LIFE_MS && !this.#opts.isListed(upstream)) return false
+    if (ageMs > UNLISTED_TTL_MS && !this.#opts.isListed(upstream)) return false
     const observedAtMs = this.#opts.clock.nowMs() - ageMs
     const limit = known && observedAtMs <= known.observedAtMs ? known : { perSecond, observedAtMs }
     if (limit === known && (known.draining || !draining)) return false
@@ -120,24 +120,24 @@
     return [...this.#states.keys()].flatMap((upstream) => this.updateOf(upstream) ?? [])
   }
 
-  /** Whether an update is broadcast now; digests cover the rest. */
+  /** Whether an update may be broadcast now. Updates that are not are exchanged when digests differ. */
   mayTell ({ upstream }: UpstreamStateUpdate): boolean {
     return this.#broadcastRate.take(upstream, this.#opts.clock.nowMs())
   }
 
   expire (): void {
     const nowMs = this.#opts.clock.nowMs()
-    const isOver = ([upstream, { perSecond, draining, observedAtMs }]: [string, AdvertisedState]) => perSecond === undefined && !draining
-      ? nowMs - observedAtMs > ENDED_LIFE_MS
-      : nowMs - observedAtMs > UNLISTED_LIFE_MS && !this.#opts.isListed(upstream);
-    [...this.#states].filter(isOver).forEach(([upstream]) => this.#forget(upstream))
+    const isExpired = ([upstream, { perSecond, draining, observedAtMs }]: [string, AdvertisedState]) => perSecond === undefined && !draining
+      ? nowMs - observedAtMs > ENDED_LIMIT_TTL_MS
+      : nowMs - observedAtMs > UNLISTED_TTL_MS && !this.#opts.isListed(upstream);
+    [...this.#states].filter(isExpired).forEach(([upstream]) => this.#remove(upstream))
   }
 
-  /** What a response says of the limit; undefined when that is nothing, or cannot be read. */
+  /** The limit observed in a response; undefined if it carries no information or cannot be parsed. */
   #observedLimit (upstream: string, { succeeded, rateLimit }: UpstreamSignals, sentAtMs: number): Pick<AdvertisedState, 'perSecond' | 'observedAtMs'> | undefined {
-    // Responses overtake each other, so only one to a later request ends a limit.
-    const isSaid = rateLimit ? rateLimit.perSecond !== undefined : succeeded && this.#endsLimit(upstream, sentAtMs)
-    return isSaid ? { perSecond: rateLimit?.perSecond, observedAtMs: this.#opts.clock.nowMs() } : undefined
+    // Responses may arrive out of order, so only the response to a later request ends a limit.
+    const isObserved = rateLimit ? rateLimit.perSecond !== undefined : succeeded && this.#endsLimit(upstream, sentAtMs)
+    return isObserved ? { perSecond: rateLimit?.perSecond, observedAtMs: this.#opts.clock.nowMs() } : undefined
   }
 
   #knownLimit (upstream: string): Pick<AdvertisedState, 'perSecond' | 'observedAtMs'> {
@@ -149,7 +149,7 @@
     return known?.perSecond !== undefined && sentAtMs > known.observedAtMs
   }
 
-  /** Answers whether limit or draining changed. */
+  /** Returns whether the limit or the draining state changed. */
   #update (upstream: string, { perSecond, draining, observedAtMs }: AdvertisedState): boolean {
     const before = this.#states.get(upstream)
     const state = { perSecond, draining, observedAtMs }
@@ -158,17 +158,17 @@
     const limitChanged = before?.perSecond !== perSecond
     const startsDraining = draining && !before?.draining
     if (limitChanged) this.#opts.log.info(LogEvent.UpstreamLimitChanged, { upstream, perSecond, perSecondBefore: before?.perSecond })
-    if (startsDraining) this.#noteDraining(upstream)
+    if (startsDraining) this.#recordDraining(upstream)
     return limitChanged || startsDraining
   }
 
-  #noteDraining (upstream: string): void {
+  #recordDraining (upstream: string): void {
     this.#drainingRevision++
     this.#opts.log.info(LogEvent.UpstreamDraining, { upstream })
     this.#opts.onDraining?.()
   }
 
-  #forget (upstream: string): void {
+  #remove (upstream: string): void {
     const state = this.#states.get(upstream)
     this.#digest ^= digestOf(upstream, state)
     if (state?.draining) this.#drainingRevision++
@@ -177,7 +177,7 @@
   }
 }
 
-/** An upstream's part of the digest. */
+/** Contribution of an upstream to the digest. */
 function digestOf (upstream: string, state?: AdvertisedState): number {
   if (!state || (state.perSecond === undefined && !state.draining)) return 0
   return hash32(`${upstream} ${state.perSecond} ${state.draining}`)
--- a/upstream/signals/test/signalObserver.ts
+++ b/upstream/signals/test/signalObserver.ts
@@ -12,7 +12,7 @@
   return { clock, log, states, backoffs, observer: new SignalObserver({ clock, log, states, backoffs }) }
 }
 
-test('a limit that cannot be read changes nothing, and is told of once', (t) => {
+test('a limit that cannot be parsed changes nothing, and is logged once', (t) => {
   const { clock, observer, states, log } = create()
   observer.observe('a', { succeeded: true, rateLimit: { perSecond: 3, text: '3' } }, clock.nowMs())
   for (let i = 0; i < 5; i++) observer.observe('a', { succeeded: true, rateLimit: { text: 'some' } }, clock.nowMs())
@@ -20,7 +20,7 @@
   t.is(log.count(LogEvent.UpstreamSignalUnreadable), 1)
 })
 
-test('a draining or backoff value that cannot be read is logged once a minute for each signal and changes nothing', async (t) => {
+test('a draining or backoff value that cannot be parsed is logged once a minute for each signal and changes nothing', async (t) => {
   const { clock, observer, states, backoffs, log } = create()
   const unreadable = { succeeded: false, draining: { text: 'soon' }, backoff: { text: 'Thu, 01 Jan 2026 00:00:00 GMT' } }
   observer.observe('a', unreadable, clock.nowMs())
@@ -33,7 +33,7 @@
   t.is(log.count(LogEvent.UpstreamSignalUnreadable), 4)
 })
 
-test('a header that is not understood is logged once, whichever upstream sends it', (t) => {
+test('an unknown header is logged once, whichever upstream sends it', (t) => {
   const { clock, observer, log } = create()
   const signals = { succeeded: true, unknownHeaders: ['server-mood'] }
   observer.observe('a', signals, clock.nowMs())
@@ -50,7 +50,7 @@
   t.is(log.count(LogEvent.UpstreamDraining), 1)
 })
 
-test('of overlapping backoffs the last to end counts', async (t) => {
+test('of overlapping backoffs the one that ends last applies', async (t) => {
   const { clock, observer, backoffs, log } = create()
   const refused = (durationMs: number) => observer.observe('a', { succeeded: false, backoff: { durationMs, text: '' } }, clock.nowMs())
   refused(3000)
@@ -66,7 +66,7 @@
   t.is(log.count(LogEvent.UpstreamBackoff), 2)
 })
 
-test('an absurdly long wait is cut, so that the upstream is tried again, and logged as such', async (t) => {
+test('an extremely long backoff is capped, so that the upstream is tried again, and logged with the requested duration', async (t) => {
   const { clock, observer, backoffs, log } = create()
   observer.observe('a', { succeeded: false, backoff: { durationMs: 1e300, text: '' } }, clock.nowMs())
   t.is(backoffs.remainingMs('a'), 300_000)
@@ -75,7 +75,7 @@
   t.is(backoffs.remainingMs('a'), 0)
 })
 
-test('the next start of an upstream owes nothing to a wait that the one before asked for', (t) => {
+test('a backoff requested by one start of an upstream does not apply to the next start', (t) => {
   const { clock, observer, backoffs } = create()
   observer.observe('a@1', { succeeded: false, backoff: { durationMs: 3000, text: '3' } }, clock.nowMs())
   t.is(backoffs.remainingMs('a@2'), 0)
