--- a/upstream/orders/src/fenceOf.ts
+++ b/upstream/orders/src/fenceOf.ts
@@ -1,14 +1,13 @@
 import { storeRevisionOf } from '@reelspan/config.store'
 import { hash32 } from '@reelspan/core.hashing'
 
-/** Orders that one revision can number. */
+/** Number of fencing tokens per revision. */
 export const FENCE_STEPS = 2 ** 20
 
 /**
- * The fencing number of the next order to an engine: the revision that asks for
- * it, with a step counted from the engine's own last accepted number. Two
- * controllers that believe the same compute the same, and one that believes an
- * older revision computes less.
+ * The fencing token of the next order to an engine: the revision that requires the
+ * order, and a step counted from the last token that the engine accepted. Two controllers
+ * with the same state compute the same token; one with an older revision computes a lower one.
  */
 export function fenceOf (revision: number, acceptedFence: number): number {
   const acceptedRevision = Math.floor(acceptedFence / FENCE_STEPS)
@@ -16,23 +15,22 @@
   return revision * FENCE_STEPS + step + 1
 }
 
-/** Orders to one engine that are told apart within one revision; more have the same number but for their holder. */
+/** Orders to one engine with distinct tokens within one revision; further ones differ only by holder. */
 const UNIQUE_STEPS = 2 ** 8
-/** Revisions that are told apart within one era of the platform's store. */
+/** Revisions with distinct tokens within one era of the platform's store. */
 const REVISIONS_PER_ERA = 2 ** 28
-/** Above this the number would not fit into 63 bits. */
+/** A higher era would not fit into a token of 63 bits. */
 const MAX_ERA = 2 ** 7 - 1
 /**
- * Numbers of holders: two boxes have the same one in a million times. Fencing numbers are exact up to revision
- * 2^25 of era 0; above it they never fall, and fewer holders are told apart.
+ * Range of holder hashes: two boxes share a hash with a probability of one in a million. Tokens are exact integers up to
+ * revision 2^25 of era 0. Above that they never decrease, but fewer holders have distinct tokens.
  */
 const HOLDERS = 2 ** 20
 
 /**
- * The fencing number of an order to an engine that does not report the last number
- * it took, but how many orders. It rises with the order of the list, over all eras of
- * the platform's store, and with each order; two holders that believe the same do not
- * give the same number.
+ * The fencing token of an order to an engine that reports the number of orders it has
+ * accepted instead of the last token. It increases with the order of the list, over all eras
+ * of the platform's store, and with each order. Two holders with the same state use different tokens.
  */
 export function uniqueFenceOf (listOrder: number, ordersTaken: number, holder: string): number {
   const { era, revision } = storeRevisionOf(listOrder)
--- a/upstream/orders/src/orderController.ts
+++ b/upstream/orders/src/orderController.ts
@@ -2,19 +2,19 @@
 import { type Clock } from '@reelspan/core.env'
 import { type EngineClient } from '@reelspan/upstream.client'
 import { OrderOutcome, outcomeOf } from './orderOutcome.js'
-import { type OrderRight } from './orderRight.js'
+import { type OrderLease } from './orderLease.js'
 import { type OrderPlan, type OrderScope, type PlannedOrder, planOrders } from './planOrders.js'
 
 export interface OrderControllerOptions {
   clock: Clock
   engines: EngineClient
-  right: OrderRight
+  right: OrderLease
   configuration: () => Configuration
   orderTimeoutMs: number
   onOrder?: (order: PlannedOrder, outcome: OrderOutcome) => void
 }
 
-/** Carries out what is declared for the engines of one shard. */
+/** Reconciles the engines of one shard with their declared configuration. */
 export class OrderController {
   readonly #opts: OrderControllerOptions
 
@@ -22,7 +22,7 @@
     this.#opts = opts
   }
 
-  /** Plans from the newest reports and sends what can be sent. Returns the plan. */
+  /** Plans orders from the newest reports and sends those that can be sent. Returns the plan. */
   async pass (scope: OrderScope): Promise<OrderPlan> {
     const plan = planOrders(this.#opts.configuration(), scope)
     for (const order of plan.orders) await this.#send(order)
@@ -30,11 +30,11 @@
   }
 
   async #send (planned: PlannedOrder): Promise<void> {
-    const { clock, engines, right, configuration, orderTimeoutMs, onOrder } = this.#opts
+    const { clock, engines, right: lease, configuration, orderTimeoutMs, onOrder } = this.#opts
     const revision = configuration().revision
-    // After a pause, news that came meanwhile is read before the right is checked.
+    // After a pause of the process, updates received meanwhile are processed before the lease is checked.
     await clock.settle()
-    if (!right.holds() || configuration().revision !== revision) {
+    if (!lease.holds() || configuration().revision !== revision) {
       onOrder?.(planned, OrderOutcome.NotSent)
       return
     }
--- /dev/null
+++ b/upstream/orders/src/orderLease.ts
@@ -0,0 +1,59 @@
+import { type Clock, type PauseWatch } from '@reelspan/core.env'
+
+export interface OrderLeaseOptions {
+  clock: Clock
+  /** How long the lease is valid after the last contact. */
+  lifeMs: number
+  /** When this box last had contact with the platform or with most of the peers it monitors, by its own clock. */
+  lastContactMs: () => number
+  /** Detects pauses of this process. */
+  pauses: PauseWatch
+}
+
+/** Shortest pause that matters, as a share of the lease duration: a paused box is suspected, and its shards are reassigned, after a second; a lease lasts three. */
+const MIN_PAUSE_SHARE = 0.3
+
+/**
+ * The lease under which this box gives orders in a shard, for engines that do not
+ * check fencing tokens. It expires by the box's own clock unless contact renews it.
+ * A new holder first waits until the lease of the previous holder must have expired.
+ * So does a box whose process was paused: another box may hold the lease by now, and
+ * the first messages that the paused box reads are from before the pause.
+ *
+ * The lease does not cover a pause between the check and the send. The order is then
+ * sent late, by at most the length of the pause. The engine's next report shows its
+ * effect, which is then corrected.
+ */
+export class OrderLease {
+  readonly #opts: OrderLeaseOptions
+  #acquiredAtMs?: number
+
+  constructor (opts: OrderLeaseOptions) {
+    this.#opts = opts
+  }
+
+  /** Whether this box is the shard's scheduler, by its own view. */
+  get taken (): boolean {
+    return this.#acquiredAtMs !== undefined
+  }
+
+  /** Called when this box becomes the shard's scheduler. */
+  take (): void {
+    this.#acquiredAtMs ??= this.#opts.clock.nowMs()
+  }
+
+  /** Called when this box is no longer the shard's scheduler. */
+  giveUp (): void {
+    this.#acquiredAtMs = undefined
+  }
+
+  /** Whether an order may be sent now. */
+  holds (): boolean {
+    const { clock, lifeMs: durationMs, lastContactMs, pauses } = this.#opts
+    const nowMs = clock.nowMs()
+    if (this.#acquiredAtMs === undefined) return false
+    const heldFromMs = Math.max(this.#acquiredAtMs, pauses.wokeAtMs(MIN_PAUSE_SHARE * durationMs))
+    const previousHasExpired = nowMs - heldFromMs >= 2 * durationMs
+    return previousHasExpired && nowMs - lastContactMs() < durationMs
+  }
+}
--- a/upstream/orders/src/orderOutcome.ts
+++ b/upstream/orders/src/orderOutcome.ts
@@ -1,16 +1,16 @@
 import { UpstreamError } from '@reelspan/upstream.client'
 
-/** What became of an order. */
+/** Result of an order. */
 export enum OrderOutcome {
   Accepted = 'accepted',
   Refused = 'refused',
-  /** It may have been taken, or not. */
+  /** The engine may or may not have accepted the order. */
   NotAnswered = 'notAnswered',
-  /** The right to order was lost before it was sent. */
+  /** The lease was lost before the order was sent. */
   NotSent = 'notSent',
 }
 
-/** What became of an order whose call failed. */
+/** Result of an order whose call failed. */
 export function outcomeOf (thrown: unknown): OrderOutcome {
   return thrown instanceof UpstreamError && thrown.refused ? OrderOutcome.Refused : OrderOutcome.NotAnswered
 }
--- a/upstream/orders/src/roleBalancer.ts
+++ b/upstream/orders/src/roleBalancer.ts
@@ -3,52 +3,52 @@
 import { type EngineClient, EngineRole, type EngineOrder, OrderKind } from '@reelspan/upstream.client'
 import { uniqueFenceOf } from './fenceOf.js'
 import { OrderOutcome, outcomeOf } from './orderOutcome.js'
-import { type OrderRight } from './orderRight.js'
+import { type OrderLease } from './orderLease.js'
 import { type PlannedOrder, type ReportedEngine } from './planOrders.js'
 import { type RoleCounts, type RoleLoad, type RolePlan, planRoles } from './planRoles.js'
 
-/** An engine that may be told another role. */
+/** An engine whose role may be changed. */
 export interface BalancedEngine extends ReportedEngine {
   availabilityZone: string
-  /** Requests that are placed on it. */
+  /** Number of requests placed on the engine. */
   reservations: number
 }
 
-/** The engines of one shard, by the role that the list gives them. */
+/** The engines of one shard, by their role in the list. */
 export type BalancedEngines = Record<EngineRole, readonly BalancedEngine[]>
 
 export interface RoleBalancerOptions {
   clock: Clock
   engines: EngineClient
-  right: OrderRight
-  /** The name of this box, which no other has. */
+  right: OrderLease
+  /** The unique name of this box. */
   holder: string
-  /** The order of the list that this box knows. It rises over all boxes, and all eras of the platform's store. */
+  /** The order of the newest list that this box knows. It increases over all boxes and all eras of the platform's store. */
   listOrder: () => number
   orderTimeoutMs: number
   onPlan?: (plan: RolePlan, load: RoleLoad | undefined) => void
   onOrder?: (order: PlannedOrder, outcome: OrderOutcome) => void
 }
 
-/** An engine on its way to another role. */
-interface Move {
+/** A role change in progress. */
+interface RoleMove {
   from: EngineRole
   sinceMs: number
   ordered: boolean
 }
 
-/** Engines of both roles are as many for this many passes before one changes: those that crash or are replaced come and go within a second or two. */
+/** Passes for which the engine counts must be unchanged before a role change: crashed or replaced engines come and go within a second or two. */
 const STEADY_PASSES = 2
-/** An engine that is not empty by then, or has not changed its role, is let go again: the longest change that was seen took 14 s, 7 s of it to end its work. */
-const MOVE_LIFE_MS = 25_000
+/** An engine that is not empty, or has not changed its role, after this time gets work again. The longest change took 14 s, 7 s of it to finish work. */
+const MOVE_TIMEOUT_MS = 25_000
 
 /**
- * Brings the engines of one shard into the roles that their load needs. An engine
- * gets no new work from when it is chosen, and its order when it is empty.
+ * Adjusts the roles of the engines of one shard to the load. A chosen engine gets no
+ * new work, and receives its order once it is empty.
  */
 export class RoleBalancer {
   readonly #opts: RoleBalancerOptions
-  readonly #moves = new Map<string, Move>()
+  readonly #moves = new Map<string, RoleMove>()
   #plan?: RolePlan
   #counts?: RoleCounts
   #steadyPasses = 0
@@ -63,21 +63,21 @@
     return this.#plan
   }
 
-  /** Whether an engine is to get no new work. */
+  /** Whether an engine is changing its role and gets no new work. */
   isMoving (engine: string): boolean {
     return this.#moves.has(engine)
   }
 
-  async pass (engines: BalancedEngines, least: RoleCounts, load: RoleLoad | undefined): Promise<void> {
-    this.#forgetEnded(engines)
-    const counts = { prefill: countOf(engines.prefill), decode: countOf(engines.decode) }
-    this.#noteCounts(counts)
-    this.#choose(engines, this.#planNow(engines, counts, least, load))
-    const ready = allOf(engines).filter((engine) => this.#isReady(engine))
+  async pass (engines: BalancedEngines, minimum: RoleCounts, load: RoleLoad | undefined): Promise<void> {
+    this.#removeEndedMoves(engines)
+    const counts = { prefill: countPresent(engines.prefill), decode: countPresent(engines.decode) }
+    this.#recordCounts(counts)
+    this.#startMoves(engines, this.#updatePlan(engines, counts, minimum, load))
+    const ready = allOf(engines).filter((engine) => this.#isReadyForOrder(engine))
     for (const engine of ready) await this.#send(engine)
   }
 
-  /** The right to order is lost: engines that were not ordered yet work on. */
+  /** Called when the lease is lost: engines that have not received their order keep their role. */
   standDown (): void {
     this.#moves.forEach(({ ordered }, engine) => {
       if (!ordered) this.#moves.delete(engine)
@@ -85,17 +85,17 @@
     this.#steadyPasses = 0
   }
 
-  #noteCounts (counts: RoleCounts): void {
+  #recordCounts (counts: RoleCounts): void {
     const same = counts.prefill === this.#counts?.prefill && counts.decode === this.#counts.decode
     this.#steadyPasses = same ? this.#steadyPasses + 1 : 1
     this.#counts = counts
   }
 
-  #planNow (engines: BalancedEngines, counts: RoleCounts, least: RoleCounts, load: RoleLoad | undefined): RolePlan {
+  #updatePlan (engines: BalancedEngines, counts: RoleCounts, minimum: RoleCounts, load: RoleLoad | undefined): RolePlan {
     const nowMs = this.#opts.clock.nowMs()
     const plan = planRoles({
       counts,
-      least,
+      minimum,
       changing: this.#moves.size > 0 || allOf(engines).some(isChanging),
       load,
       sinceLastChangeMs: this.#lastChangeMs === undefined ? undefined : nowMs - this.#lastChangeMs,
@@ -105,36 +105,36 @@
     return plan
   }
 
-  #choose (engines: BalancedEngines, { from, count }: RolePlan): void {
+  #startMoves (engines: BalancedEngines, { from, count }: RolePlan): void {
     if (from === undefined || this.#steadyPasses < STEADY_PASSES) return
     const nowMs = this.#opts.clock.nowMs()
     this.#lastChangeMs = nowMs
-    withLeastToLose(engines, from).slice(0, count).forEach(({ name }) => this.#moves.set(name, { from, sinceMs: nowMs, ordered: false }))
+    rankCandidates(engines, from).slice(0, count).forEach(({ name }) => this.#moves.set(name, { from, sinceMs: nowMs, ordered: false }))
   }
 
-  /** Forgets engines that have come to their new role, are gone, or never got there. */
-  #forgetEnded (engines: BalancedEngines): void {
+  /** Removes moves of engines that have their new role, are no longer listed, or timed out. */
+  #removeEndedMoves (engines: BalancedEngines): void {
     const nowMs = this.#opts.clock.nowMs()
     this.#moves.forEach(({ from, sinceMs }, name) => {
-      const stillThere = engines[from].some((engine) => engine.name === name && !engine.leaving)
-      if (!stillThere || nowMs - sinceMs > MOVE_LIFE_MS) this.#moves.delete(name)
+      const isListed = engines[from].some((engine) => engine.name === name && !engine.leaving)
+      if (!isListed || nowMs - sinceMs > MOVE_TIMEOUT_MS) this.#moves.delete(name)
     })
   }
 
-  #isReady ({ name, reservations, report }: BalancedEngine): boolean {
+  #isReadyForOrder ({ name, reservations, report }: BalancedEngine): boolean {
     const move = this.#moves.get(name)
     return move !== undefined && !move.ordered && reservations === 0 && report !== undefined && !report.changing
   }
 
   async #send ({ name, address, report }: BalancedEngine): Promise<void> {
-    const { clock, engines, right, holder, listOrder, orderTimeoutMs, onOrder } = this.#opts
+    const { clock, engines, right: lease, holder, listOrder, orderTimeoutMs, onOrder } = this.#opts
     const move = this.#moves.get(name)
-    // After a pause, news that came meanwhile is read before the right is checked.
+    // After a pause of the process, updates received meanwhile are processed before the lease is checked.
     await clock.settle()
     if (!move || move.ordered) return
     const ordersTaken = report?.ordersTaken ?? 0
     const order: EngineOrder = { kind: OrderKind.ChangeRole, role: otherRole(move.from), fence: uniqueFenceOf(listOrder(), ordersTaken, holder), instance: name, holder, ordersTaken: report?.ordersTaken }
-    if (!right.holds()) {
+    if (!lease.holds()) {
       this.#moves.delete(name)
       onOrder?.({ engine: name, address, order }, OrderOutcome.NotSent)
       return
@@ -144,7 +144,7 @@
       () => onOrder?.({ engine: name, address, order }, OrderOutcome.Accepted),
       (thrown: unknown) => {
         const outcome = outcomeOf(thrown)
-        // One that was not answered may have been taken: the engine's reports will tell.
+        // An unanswered order may have been accepted, which the engine's reports will show.
         if (outcome === OrderOutcome.Refused) this.#moves.delete(name)
         onOrder?.({ engine: name, address, order }, outcome)
       }
@@ -160,8 +160,8 @@
   return [...engines.prefill, ...engines.decode]
 }
 
-/** Silent ones count: most are back within seconds, and the list drops those that are not. */
-function countOf (engines: readonly BalancedEngine[]): number {
+/** Unresponsive engines count: most return within seconds, and the others are removed from the list. */
+function countPresent (engines: readonly BalancedEngine[]): number {
   return engines.filter(({ leaving }) => !leaving).length
 }
 
@@ -170,17 +170,16 @@
 }
 
 /**
- * Those that can be asked, the ones with the least to lose first: with few requests,
- * and from availability zones with many of their role against the other, so that prompts
- * are read near to where they are decoded.
+ * Engines that can change their role, best candidates first: those in availability zones with a
+ * surplus of their role over the other, so that prefill stays close to decode, then those with few requests.
  */
-function withLeastToLose (engines: BalancedEngines, from: EngineRole): BalancedEngine[] {
-  const surplus = (zone: string) => inZone(engines[from], zone) - inZone(engines[otherRole(from)], zone)
+function rankCandidates (engines: BalancedEngines, from: EngineRole): BalancedEngine[] {
+  const surplus = (zone: string) => countInZone(engines[from], zone) - countInZone(engines[otherRole(from)], zone)
   return engines[from]
     .filter(({ leaving, report }) => !leaving && report && !report.changing)
     .sort((a, b) => surplus(b.availabilityZone) - surplus(a.availabilityZone) || a.reservations - b.reservations || hash32(a.name) - hash32(b.name))
 }
 
-function inZone (engines: readonly BalancedEngine[], zone: string): number {
+function countInZone (engines: readonly BalancedEngine[], zone: string): number {
   return engines.filter(({ availabilityZone, leaving }) => availabilityZone === zone && !leaving).length
 }
--- a/upstream/orders/test/orders.ts
+++ b/upstream/orders/test/orders.ts
@@ -41,7 +41,7 @@
 
 const HOLD = { label: { ownerAddress: 'a', ownerIncarnation: 'i', requestId: 'r', maxHoldMs: 1 }, kind: HoldKind.Decode, kvBytes: 1, tokensDone: 0 }
 
-test('an engine is emptied before it is ordered', (t) => {
+test('an engine is emptied before it receives an order', (t) => {
   const busy = planOrders(configurationWith({}), scope([engine('a', { holds: [HOLD] }), engine('b'), engine('c')]))
   t.deepEqual(busy.retiring, ['a'])
   t.deepEqual(busy.orders, [])
@@ -55,16 +55,16 @@
 })
 
 test('an engine that does not answer counts as out of service', (t) => {
-  const silent = { ...engine('a'), report: undefined }
-  t.deepEqual(planOrders(configurationWith({}), scope([silent, engine('b'), engine('c'), engine('d')])).retiring, [])
+  const unresponsive = { ...engine('a'), report: undefined }
+  t.deepEqual(planOrders(configurationWith({}), scope([unresponsive, engine('b'), engine('c'), engine('d')])).retiring, [])
 })
 
-test('an engine with a wrong role is told its role first', (t) => {
+test('an engine with a wrong role is ordered to change its role first', (t) => {
   const plan = planOrders(configurationWith(undefined), scope([engine('a', { role: EngineRole.Prefill }), engine('b'), engine('c')]))
   t.deepEqual(plan.orders.map(({ order }) => order.kind), [OrderKind.ChangeRole])
 })
 
-test('fencing numbers rise with the revision and with each accepted order, and are the same for whoever computes them', (t) => {
+test('fencing tokens increase with the revision and with each accepted order, and every controller computes the same', (t) => {
   t.true(fenceOf(5, 0) > fenceOf(4, 0))
   t.is(fenceOf(5, fenceOf(5, 0)), fenceOf(5, 0) + 1)
   t.is(fenceOf(5, fenceOf(4, 0)), 5 * FENCE_STEPS + 1)
@@ -76,43 +76,43 @@
   return pauses
 }
 
-test('a box that stood still waits for whoever may have taken over, before it gives an order', async (t) => {
+test('after a pause a box waits for the lease of a possible successor to expire before it gives an order', async (t) => {
   const shared = new VirtualClock()
   const clock = new NodeClock(shared)
-  const right = new OrderRight({ clock, lifeMs: 1000, lastContactMs: () => clock.nowMs(), pauses: startPauseWatch(clock) })
-  right.take()
+  const lease = new OrderRight({ clock, lifeMs: 1000, lastContactMs: () => clock.nowMs(), pauses: startPauseWatch(clock) })
+  lease.take()
   await shared.advance(2000)
-  t.true(right.holds())
+  t.true(lease.holds())
   clock.pause()
   await shared.advance(250)
   clock.resume()
-  t.true(right.holds(), 'too short for anyone to take over')
+  t.true(lease.holds(), 'the pause is too short for another box to take over')
   await shared.advance(500)
   clock.pause()
   await shared.advance(1500)
   clock.resume()
-  t.false(right.holds())
+  t.false(lease.holds())
   await shared.advance(1900)
-  t.false(right.holds())
+  t.false(lease.holds())
   await shared.advance(200)
-  t.true(right.holds())
+  t.true(lease.holds())
 })
 
-test('the right to order lapses without contact, and a new holder waits for the one before', async (t) => {
+test('the lease expires without contact, and a new holder waits for the previous one to expire', async (t) => {
   const shared = new VirtualClock()
   const clock = new NodeClock(shared)
   let contactMs = clock.nowMs()
-  const right = new OrderRight({ clock, lifeMs: 1000, lastContactMs: () => contactMs, pauses: startPauseWatch(clock) })
-  t.false(right.holds())
-  right.take()
+  const lease = new OrderRight({ clock, lifeMs: 1000, lastContactMs: () => contactMs, pauses: startPauseWatch(clock) })
+  t.false(lease.holds())
+  lease.take()
   contactMs = clock.nowMs()
-  t.false(right.holds(), 'the one before may still hold it')
+  t.false(lease.holds(), 'the previous holder may still have the lease')
   await shared.advance(2000)
   contactMs = clock.nowMs()
-  t.true(right.holds())
+  t.true(lease.holds())
   await shared.advance(1000)
-  t.false(right.holds())
-  right.giveUp()
+  t.false(lease.holds())
+  lease.giveUp()
   contactMs = clock.nowMs()
-  t.false(right.holds())
+  t.false(lease.holds())
 })
--- a/upstream/orders/test/roleBalancer.ts
+++ b/upstream/orders/test/roleBalancer.ts
@@ -8,8 +8,8 @@
 const LOAD: RoleLoad = { prefillMs: 100, decodeMs: 320, arrivalsPerMs: 0.007 }
 const LEAST = { prefill: 1, decode: 1 }
 
-/** Takes orders, or fails them. */
-class OrderTaker extends EngineClient {
+/** Records orders, and fails them if `failure` is set. */
+class RecordingEngineClient extends EngineClient {
   readonly orders: EngineOrder[] = []
   failure?: UpstreamError
 
@@ -37,19 +37,19 @@
   }
 }
 
-/** A balancer that has had the right to order for long. */
+/** Creates a balancer whose lease is already valid. */
 async function createBalancer () {
   const shared = new VirtualClock()
   const clock = new NodeClock(shared)
   const contact = { lost: false }
   const pauses = new PauseWatch({ clock })
   pauses.start(new TaskGroup(clock))
-  const right = new OrderRight({ clock, lifeMs: 1000, lastContactMs: () => contact.lost ? 0 : clock.nowMs(), pauses })
-  right.take()
+  const lease = new OrderRight({ clock, lifeMs: 1000, lastContactMs: () => contact.lost ? 0 : clock.nowMs(), pauses })
+  lease.take()
   await shared.advance(10_000)
-  const engines = new OrderTaker()
+  const engines = new RecordingEngineClient()
   const outcomes: OrderOutcome[] = []
-  const balancer = new RoleBalancer({ clock, engines, right, holder: 'box-1', listOrder: () => 7, orderTimeoutMs: 1000, onOrder: (_order, outcome) => outcomes.push(outcome) })
+  const balancer = new RoleBalancer({ clock, engines, right: lease, holder: 'box-1', listOrder: () => 7, orderTimeoutMs: 1000, onOrder: (_order, outcome) => outcomes.push(outcome) })
   const pass = async (fleet: ReturnType<typeof fleetOf>, load: RoleLoad | null = LOAD) => {
     await shared.run(balancer.pass(fleet, LEAST, load ?? undefined))
     await shared.advance(1000)
@@ -59,7 +59,7 @@
 
 const THREE = fleetOf(['p1', 'p2', 'p3'], ['d1', 'd2', 'd3'])
 
-test('an engine is told its new role once the engines are as many as before, with the orders it has taken and a number of this holder', async (t) => {
+test('an engine is ordered to change its role once the engine counts are steady, with its count of orders and a token of this holder', async (t) => {
   const { engines, pass, outcomes } = await createBalancer()
   await pass(THREE)
   t.deepEqual(engines.orders, [])
@@ -71,21 +71,21 @@
   t.deepEqual(outcomes, [OrderOutcome.Accepted])
 })
 
-test('while engines come and go no engine is told another role', async (t) => {
+test('no engine is ordered to change its role while engines come and go', async (t) => {
   const { engines, pass } = await createBalancer()
   const more = fleetOf(['p1', 'p2', 'p3', 'p4'], ['d1', 'd2', 'd3'])
   for (let i = 0; i < 6; i++) await pass(i % 2 === 0 ? THREE : more)
   t.deepEqual(engines.orders, [])
 })
 
-test('engines that were as many for long change as soon as the load is known', async (t) => {
+test('if the engine counts have been steady, engines change as soon as the load is known', async (t) => {
   const { engines, pass } = await createBalancer()
   for (let i = 0; i < 3; i++) await pass(THREE, null)
   await pass(THREE)
   t.is(engines.orders.length, 1)
 })
 
-test('an engine gets no new work from when it is chosen, and its order when it is empty', async (t) => {
+test('a chosen engine gets no new work, and receives its order once it is empty', async (t) => {
   const { balancer, engines, pass } = await createBalancer()
   const busy = { ...THREE, prefill: THREE.prefill.map((engine) => ({ ...engine, reservations: 1 })) }
   await pass(busy)
@@ -97,14 +97,14 @@
   t.deepEqual(engines.orders.map(({ instance }) => instance), [moving[0].name])
 })
 
-test('an engine that was ordered is ordered once, however long it takes', async (t) => {
+test('an engine receives its order only once, however long the change takes', async (t) => {
   const { balancer, engines, pass } = await createBalancer()
   for (let i = 0; i < 20; i++) await pass(THREE)
   t.is(engines.orders.length, 1)
   t.is(balancer.plan?.outcome, RolePlanOutcome.Settling)
 })
 
-test('an engine that the list has in its new role takes work', async (t) => {
+test('an engine that is listed in its new role gets work', async (t) => {
   const { balancer, engines, pass } = await createBalancer()
   await pass(THREE)
   await pass(THREE)
@@ -114,10 +114,10 @@
   await pass(after)
   t.false(balancer.isMoving(moved))
   for (let i = 0; i < 30; i++) await pass(after)
-  t.is(engines.orders.length, 1, 'the share is balanced')
+  t.is(engines.orders.length, 1, 'the split is balanced')
 })
 
-test('an engine that refuses its order works on, and no other is asked for a while', async (t) => {
+test('an engine that refuses its order gets work again, and no other engine is ordered for a while', async (t) => {
   const { balancer, engines, pass, outcomes } = await createBalancer()
   engines.failure = new UpstreamError('another order is under way', { mayHaveRun: false, refused: true })
   for (let i = 0; i < 8; i++) await pass(THREE)
@@ -125,7 +125,7 @@
   t.false(THREE.prefill.some(({ name }) => balancer.isMoving(name)))
 })
 
-test('an order that was not answered may have been taken: its engine waits for what its reports say', async (t) => {
+test('an unanswered order may have been accepted, so the engine gets no work until its reports show the outcome', async (t) => {
   const { balancer, engines, pass, outcomes } = await createBalancer()
   engines.failure = new UpstreamError('no answer', { mayHaveRun: true, unreachable: true })
   for (let i = 0; i < 4; i++) await pass(THREE)
@@ -133,7 +133,7 @@
   t.true(balancer.isMoving(engines.orders[0].instance as string))
 })
 
-test('without the right to order nothing is sent, and engines that were chosen work on', async (t) => {
+test('without a lease no order is sent, and chosen engines get work again', async (t) => {
   const { balancer, engines, pass, contact, outcomes } = await createBalancer()
   const busy = { ...THREE, prefill: THREE.prefill.map((engine) => ({ ...engine, reservations: 1 })) }
   await pass(busy)
@@ -145,7 +145,7 @@
   t.false(THREE.prefill.some(({ name }) => balancer.isMoving(name)))
 })
 
-test('standing down lets engines go that were not ordered, and keeps those that were', async (t) => {
+test('when the lease is lost, only engines without an order get work again', async (t) => {
   const { balancer, engines, pass } = await createBalancer()
   await pass(THREE)
   await pass(THREE)
@@ -153,7 +153,7 @@
   t.true(balancer.isMoving(engines.orders[0].instance as string))
 })
 
-test('an engine that never changes is let go again', async (t) => {
+test('an engine that never changes its role gets work again after a timeout', async (t) => {
   const { balancer, engines, pass } = await createBalancer()
   for (let i = 0; i < 2; i++) await pass(THREE)
   const first = engines.orders[0].instance as string
@@ -161,7 +161,7 @@
   t.false(balancer.isMoving(first))
 })
 
-test('a zone with more engines of the role than of the other gives one up first', async (t) => {
+test('zones with a surplus of engines of the role are chosen first', async (t) => {
   const { engines, pass } = await createBalancer()
   const fleet = {
     prefill: [engineOf('p1', EngineRole.Prefill, { availabilityZone: 'a' }), engineOf('p2', EngineRole.Prefill, { availabilityZone: 'b' }), engineOf('p3', EngineRole.Prefill, { availabilityZone: 'b' })],
@@ -172,14 +172,14 @@
   t.true(['p2', 'p3'].includes(engines.orders[0].instance as string))
 })
 
-test('numbers of orders rise with the revision and the orders taken, and differ between holders', (t) => {
+test('fencing tokens increase with the revision and the count of orders, and differ between holders', (t) => {
   t.true(uniqueFenceOf(8, 0, 'box-1') > uniqueFenceOf(7, 200, 'box-2'))
   t.true(uniqueFenceOf(7, 5, 'box-1') > uniqueFenceOf(7, 4, 'box-2'))
   t.not(uniqueFenceOf(7, 4, 'box-1'), uniqueFenceOf(7, 4, 'box-2'))
   t.true(Number.isSafeInteger(uniqueFenceOf(2 ** 24, 255, 'box-1')))
 })
 
-test('an order numbered after the platform\'s store came back from a copy is not fenced off by those from before', (t) => {
+test('an order given after the platform\'s store was restored from a copy is not rejected because of earlier fencing tokens', (t) => {
   const before = [1, 2 ** 24, 2 ** 31].map((revision) => uniqueFenceOf(orderOf({ era: 0, revision }), 255, 'box-2'))
   const after = [1, 2, 127].map((era) => uniqueFenceOf(orderOf({ era, revision: 1 }), 0, 'box-1'))
   const all = [...before, ...after]
@@ -190,7 +190,7 @@
   t.not(uniqueFenceOf(orderOf({ era: 1, revision: 7 }), 4, 'box-1'), uniqueFenceOf(orderOf({ era: 1, revision: 7 }), 4, 'box-2'))
 })
 
-test('an engine that starts again while it is on its way to another role is free to work, and is not ordered for the start before', async (t) => {
+test('an engine that restarts during a role change gets work again, and receives no order meant for its previous start', async (t) => {
   const { balancer, engines, pass } = await createBalancer()
   const busy = { ...THREE, prefill: THREE.prefill.map((engine) => ({ ...engine, reservations: 1 })) }
   await pass(busy)
