--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -88,14 +88,14 @@
   },
   {
     name: 'keyed requests are taken within the bound of the proof alone',
-    file: 'accounts/proof/src/configurationProof.ts',
-    find: 'return boundMs === undefined || this.ageMs < boundMs',
+    file: 'accounts/proof/src/freshnessProof.ts',
+    find: 'return maxAgeMs === undefined || this.ageMs < maxAgeMs',
     replace: 'return boundMs === undefined || this.ageMs < 100 * boundMs',
     tests: [ACCOUNTS],
   },
   {
     name: 'a peer\'s proof counts from when the peer was asked',
-    file: 'accounts/proof/src/configurationProof.ts',
+    file: 'accounts/proof/src/freshnessProof.ts',
     find: 'this.noteRead(revision, askedAtMs - ageMs)',
     replace: 'this.noteRead(revision, askedAtMs)',
     tests: ['accounts/proof/test.lib/configurationProof.js'],
@@ -116,9 +116,9 @@
   },
   {
     name: 'boxes go past upstreams of which others agree that they fail',
-    file: 'upstream/health/src/upstreamReports.ts',
-    find: '(this.#passedOverUntilMs.get(upstream) ?? 0) > this.#clock.nowMs()',
-    replace: 'this.#passedOverUntilMs.get(upstream) === -1',
+    file: 'upstream/health/src/upstreamFailureReports.ts',
+    find: '(this.#avoidUntilMs.get(upstream) ?? 0) > this.#clock.nowMs()',
+    replace: 'this.#avoidUntilMs.get(upstream) === -1',
     tests: ['box/runtime/test.lib/upstreamReports.js'],
   },
   {
@@ -326,9 +326,9 @@
   },
   {
     name: 'the right to order lapses',
-    file: 'upstream/orders/src/orderRight.ts',
-    find: 'return othersAreDone && nowMs - lastContactMs() < lifeMs',
-    replace: 'return othersAreDone || nowMs - lastContactMs() < lifeMs',
+    file: 'upstream/orders/src/orderLease.ts',
+    find: 'return previousHasExpired && nowMs - lastContactMs() < durationMs',
+    replace: 'return previousHasExpired || nowMs - lastContactMs() < durationMs',
     tests: ['upstream/orders/test.lib/orders.js', ORDERS],
   },
   {
@@ -348,7 +348,7 @@
   {
     name: 'an engine is told its role only while the right to order holds',
     file: 'upstream/orders/src/roleBalancer.ts',
-    find: 'if (!right.holds()) {',
+    find: 'if (!lease.holds()) {',
     replace: 'if (order.fence < 0) {',
     tests: [ROLES],
   },
@@ -481,9 +481,9 @@
   },
   {
     name: 'a box that stood still waits before it orders again',
-    file: 'upstream/orders/src/orderRight.ts',
-    find: 'Math.max(this.#heldFromMs, pauses.wokeAtMs(PAUSE_SHARE * lifeMs))',
-    replace: 'this.#heldFromMs',
+    file: 'upstream/orders/src/orderLease.ts',
+    find: 'Math.max(this.#acquiredAtMs, pauses.wokeAtMs(MIN_PAUSE_SHARE * durationMs))',
+    replace: 'this.#acquiredAtMs',
     tests: ['upstream/orders/test.lib/orders.js'],
   },
   {
