--- a/box/runtime/src/box.ts
+++ b/box/runtime/src/box.ts
@@ -10,39 +10,39 @@
 import { type LookupAnswer } from '@reelspan/request.lookup'
 import { SchedulerPlacer } from '@reelspan/scheduling.scheduler-placer'
 import { LogEvent } from '@reelspan/telemetry.log'
-import { type BoxParts, listedPeers } from './boxParts.js'
+import { type BoxParts, listedPeerAddresses } from './boxParts.js'
 import { changedKeys } from './changedKeys.js'
-import { drawIncarnation } from './drawIncarnation.js'
-import { MemberNews } from './memberNews.js'
+import { generateIncarnation } from './generateIncarnation.js'
+import { MemberChangeFilter } from './memberChangeFilter.js'
 import { plannedStop } from './plannedStop.js'
 import { Reconciler } from './reconciler.js'
 import { registerBoxMetrics } from './registerBoxMetrics.js'
 import { type ResourceApi } from './resourceApi.js'
 
-const FIRST_PEERS_ASKED = 3
+const INITIAL_PEER_COUNT = 3
 const LOOKUP_TIMEOUT_MS = 500
 
-/** One box: everything that runs in one process, behind a narrow interface for the HTTP front. */
+/** One box process. Exposes to the HTTP front only what it needs of the parts. */
 export class Box {
   readonly #parts: BoxParts
   readonly #tasks: TaskGroup
   #stopping = false
   #callersBeingServed = 0
-  readonly #memberNews = new MemberNews()
+  readonly #memberChanges = new MemberChangeFilter()
   readonly #reconciler: Reconciler
 
   constructor (parts: BoxParts) {
     this.#parts = parts
-    this.#tasks = new TaskGroup(parts.clock, (thrown) => parts.failures.noteTask('box', thrown))
+    this.#tasks = new TaskGroup(parts.clock, (thrown) => parts.failures.recordTask('box', thrown))
     this.#reconciler = new Reconciler(parts, this.#tasks)
   }
 
-  /** Whether this box has a configuration to serve by. */
+  /** Whether this box has adopted a configuration. */
   get ready (): boolean {
     return this.#reconciler.ready
   }
 
-  /** Takes requests in for client accounts. */
+  /** Admits requests of client accounts. */
   get admission (): BoxAdmission {
     return this.#parts.admission
   }
@@ -59,33 +59,33 @@
     return this.#parts.view.self
   }
 
-  /** Reads platform and peers, meets the other boxes, and begins to serve. */
+  /** Reads the fleet and the declarations from the platform and peers, joins the other boxes and starts the background tasks. */
   async start (): Promise<void> {
-    const { link, dispatch, followers, prober, view, log, random, pauses } = this.#parts
-    pauses.start(this.#tasks)
+    const { link, dispatch, followers, prober, view, log, random, pauseDetector } = this.#parts
+    pauseDetector.start(this.#tasks)
     link.serve(dispatch)
     view.onChange((member) => this.#onMemberChange(member))
     await followers[Collection.Fleet].readFirst([])
-    const asked = random.sample(listedPeers(this.#parts), FIRST_PEERS_ASKED)
+    const firstPeers = random.sample(listedPeerAddresses(this.#parts), INITIAL_PEER_COUNT)
     await Promise.all([
-      prober.join(asked),
-      followers[Collection.Fleet].readFirst(asked),
-      followers[Collection.Declarations].readFirst(asked),
+      prober.join(firstPeers),
+      followers[Collection.Fleet].readFirst(firstPeers),
+      followers[Collection.Declarations].readFirst(firstPeers),
     ])
     registerBoxMetrics(this.#parts)
     Object.values(followers).forEach((follower) => follower.start())
     prober.start()
-    this.#parts.proofKeeper?.start()
+    this.#parts.proofRenewer?.start()
     this.#reconciler.start()
     log.info(LogEvent.Started, { incarnation: view.self.incarnation, revision: this.#parts.declarations.revision })
   }
 
-  /** Acts on a change of the fleet that the platform's list does not have. */
+  /** Applies a change of the fleet that the platform's list does not contain, such as an upstream that advertises draining. */
   onFleetChange (): void {
     this.#reconciler.onFleetChange()
   }
 
-  /** Runs or joins a request and yields its answer, to the final event. */
+  /** Runs a request, or joins it if it already runs, and yields its answer up to and including the final event. */
   async * submit (request: RoutedRequest, signal: AbortSignal): AsyncGenerator<AnswerEvent> {
     this.#callersBeingServed++
     try {
@@ -95,10 +95,10 @@
     }
   }
 
-  /** Runs an opaque request and answers its caller. */
+  /** Relays a request to an upstream without interpreting its body, and answers its caller. */
   async relay (request: RelayedRequest, caller: RelayCaller, deadlineMs?: number): Promise<void> {
     const { relay } = this.#parts
-    if (!relay) throw new ReelspanError(ErrorCode.NoRoute, 'this box relays no requests')
+    if (!relay) throw new ReelspanError(ErrorCode.NoRoute, 'this box is not configured to relay requests')
     this.#callersBeingServed++
     try {
       await relay.relay(request, caller, deadlineMs)
@@ -107,17 +107,26 @@
     }
   }
 
-  /** Whether this machine was suspended, now that its time of day went ahead of its clock by so much. Until that is known, no order is given. */
+  /**
+   * Handles a jump of the wall clock ahead of the monotonic clock: asks the peers whether the machine was suspended.
+   * The freshness proof is dropped, and no orders are sent to engines until the answer is known.
+   *
+   * @returns whether the machine was suspended, rather than its wall clock set
+   */
   async wasSuspended (durationMs: number): Promise<boolean> {
-    const { log, pauses, prober, proof } = this.#parts
-    pauses.note(durationMs)
-    proof.forget()
+    const { log, pauseDetector, prober, freshnessProof } = this.#parts
+    pauseDetector.note(durationMs)
+    freshnessProof.forget()
     const suspended = await prober.hasLostTime(durationMs)
     log.warn(LogEvent.ClockLeapt, { durationMs: Math.round(durationMs), suspended })
     return suspended
   }
 
-  /** Takes in what may change while the box runs: the addresses of boxes to meet. Answers the names of changed keys that need a restart. */
+  /**
+   * Applies the settings that may change while the box runs, which is only the list of seed addresses.
+   *
+   * @returns the names of the other changed settings, which need a restart
+   */
   reload (next: Settings): string[] {
     const { settings, log } = this.#parts
     const changed = changedKeys(settings, next)
@@ -127,28 +136,28 @@
     return needRestart
   }
 
-  /** Whether this box is about to stop. */
+  /** Whether this box is stopping. */
   get leaving (): boolean {
     return this.#stopping
   }
 
-  /** KV bytes that a token takes on the engine at an address, or 0 where none is known. */
+  /** KV cache bytes per token on the engine at an address, or 0 if they are unknown. */
   kvBytesPerTokenAt (address: string): number {
-    const { keepers, upstreams } = this.#parts
+    const { shardManagers, upstreams } = this.#parts
     const pool = upstreams.at(address)?.pool
-    const shard = keepers.shards().find(({ spec }) => spec.prefillPool === pool || spec.decodePool === pool)
+    const shard = shardManagers.shards().find(({ spec }) => spec.prefillPool === pool || spec.decodePool === pool)
     return shard?.spec.kvBytesPerToken ?? 0
   }
 
-  /** Names the start of an upstream that is known to be at an address. */
+  /** Name of the upstream listed at an address. The name identifies one start of the upstream's process. */
   upstreamStartAt (address: string): string | undefined {
     return this.#parts.upstreams.at(address)?.name
   }
 
   /**
-   * Records what a response to a call beside requests advertises about the upstream at an address.
+   * Records what an upstream advertises in a response that belongs to no request, such as an engine report.
    *
-   * @param startedAtMs when the start of the upstream began that answered, where it tells
+   * @param startedAtMs start time of the responding upstream, if it reports one; signals of another start are ignored
    */
   observeUpstreamAt (address: string, advertised: UpstreamSignals, startedAtMs?: number): void {
     const { clock, upstreams, signals } = this.#parts
@@ -156,17 +165,17 @@
     if (upstream && (startedAtMs ?? upstream.startedAtMs) === upstream.startedAtMs) signals.observe(upstream.name, advertised, clock.nowMs())
   }
 
-  /** Whether an upstream is in the list by which this box gives out work. */
+  /** Whether an upstream is in the list that this box uses to place work. */
   listsUpstream (name: string): boolean {
     return this.#parts.fleet.value.upstream(name) !== undefined
   }
 
-  /** Whether this box keeps the permits of an upstream that names a limit, as it sees the members. */
-  keepsPermitsOf (upstream: string): boolean {
+  /** Whether this box, as it sees the members, is the coordinator of the permits of a rate-limited upstream. */
+  coordinatesPermitsOf (upstream: string): boolean {
     return this.#parts.permitLimiter.isHome(upstream)
   }
 
-  /** Connections of the upstream at an address that are this box's, where its pool declares how many it takes of all boxes. */
+  /** How many connections this box may open to the upstream at an address, or undefined if its pool declares no maximum. */
   connectionShareAt (address: string): number | undefined {
     return this.#parts.connectionShares.at(address)
   }
@@ -179,12 +188,12 @@
     await this.#parts.router.cancel(key)
   }
 
-  /** Which boxes to use. A box that is about to stop lets another one answer, since it must not own new requests. */
+  /** Returns the boxes that a caller should use. A stopping box forwards the lookup to another one, since it must not own new requests. */
   async lookup (availabilityZone?: string): Promise<LookupAnswer> {
     const { lookup, link, random, view } = this.#parts
     if (!view.self.leaving) return lookup(availabilityZone)
     const [other] = random.sample(view.takingWork(), 1)
-    if (!other) throw new ReelspanError(ErrorCode.Draining, 'no other box is known to take new work', { retryAfterMs: 1000 })
+    if (!other) throw new ReelspanError(ErrorCode.Draining, 'this box is stopping and knows no other box that takes new work', { retryAfterMs: 1000 })
     const answer = await link.call(other.peerAddress, { type: MessageType.Lookup, availabilityZone }, { timeoutMs: LOOKUP_TIMEOUT_MS, repeatable: true })
     if (answer.type !== MessageType.LookupAnswer) throw new ReelspanError(ErrorCode.PeerProtocol, `unexpected answer ${answer.type}`)
     return { boxes: answer.boxes, keepMs: answer.keepMs, keyPrefix: answer.keyPrefix }
@@ -194,13 +203,13 @@
     return this.#parts.metrics.exposition()
   }
 
-  /** The whole state of the process. */
+  /** State of the whole process, for the debug endpoint. */
   describe () {
-    const { view, declarations, fleetList, fleet, records, owner, relay, keepers, prober, placer, runHistory, quarantine, upstreamStates, backoffs, proof, settings } = this.#parts
+    const { view, declarations, fleetList, fleet, records, owner, relay, shardManagers, prober, placer, runHistory, quarantine, upstreamStates, backoffs, freshnessProof, settings } = this.#parts
     return {
       self: view.self,
       ready: this.ready,
-      proofAgeMs: Number.isFinite(proof.ageMs) ? Math.round(proof.ageMs) : undefined,
+      proofAgeMs: Number.isFinite(freshnessProof.ageMs) ? Math.round(freshnessProof.ageMs) : undefined,
       stopping: this.#stopping,
       declarations: { revision: declarations.revision, resources: declarations.value.resources.length, rejected: declarations.rejected },
       fleet: { ...storeRevisionOf(fleetList.revision), boxes: fleet.value.boxes.length, upstreams: fleet.value.upstreams.length, keptThoughMissing: fleet.missing },
@@ -209,7 +218,7 @@
       owner: owner.describe(),
       relay: relay?.describe(),
       placements: placer instanceof SchedulerPlacer ? placer.liveCount : undefined,
-      shards: keepers.describe(),
+      shards: shardManagers.describe(),
       quarantine: { requests: quarantine.countQuarantined(), runsKnown: runHistory.size },
       upstreamStates: upstreamStates.all(),
       backingOffFrom: backoffs.all(),
@@ -217,24 +226,24 @@
     }
   }
 
-  /** Stops as planned, without cutting off a request. */
+  /** Performs a planned stop: waits for running requests, within `stopWithinMs` if it is set. */
   async drain (): Promise<void> {
     const { clock, log, owner, relay, settings: { requests: { stopWithinMs } } } = this.#parts
     this.#stopping = true
     log.info(LogEvent.Stopping, { requestsInFlight: this.#callersBeingServed })
     if (stopWithinMs !== undefined) [owner, relay].forEach((part) => part?.endWithin(stopWithinMs))
-    const stop = plannedStop({ ...this.#stopParts(), callersServed: () => this.#waitCallersServed() })
+    const stop = plannedStop({ ...this.#stopParts(), waitForCallers: () => this.#waitForCallers() })
     await (stopWithinMs === undefined ? stop : raceTimeout(clock, stop, stopWithinMs))
     await this.stop()
   }
 
-  /** Stops at once. What runs gets its verdict. */
+  /** Stops immediately. Each running request ends with its verdict. */
   async stop (): Promise<void> {
-    const { prober, proofKeeper, reportFlood, followers, keepers, owner, relay, runGossip, upstreamStateGossip, link, log } = this.#parts
+    const { prober, proofRenewer, reportBroadcast, followers, shardManagers, owner, relay, runGossip, upstreamStateGossip, link, log } = this.#parts
     this.#stopping = true
     const requestsCut = this.#callersBeingServed
     await Promise.all([owner.stop(), relay?.stop()])
-    await Promise.all([this.#tasks.stop(), prober.stop(), proofKeeper?.stop(), reportFlood.stop(), runGossip.stop(), upstreamStateGossip.stop(), keepers.stop(), ...Object.values(followers).map((follower) => follower.stop()), link.close()])
+    await Promise.all([this.#tasks.stop(), prober.stop(), proofRenewer?.stop(), reportBroadcast.stop(), runGossip.stop(), upstreamStateGossip.stop(), shardManagers.stop(), ...Object.values(followers).map((follower) => follower.stop()), link.close()])
     log.info(LogEvent.Stopped, { requestsCut })
   }
 
@@ -243,29 +252,29 @@
     return { clock, settings, link, view, prober, owner, relay, records, log }
   }
 
-  async #waitCallersServed (): Promise<void> {
+  async #waitForCallers (): Promise<void> {
     const { clock, settings } = this.#parts
-    const patienceMs = settings.limits.slowCallerMs
-    for (let waitedMs = 0; this.#callersBeingServed > 0 && waitedMs < patienceMs; waitedMs += 50) await clock.sleep(50)
+    const timeoutMs = settings.limits.slowCallerMs
+    for (let waitedMs = 0; this.#callersBeingServed > 0 && waitedMs < timeoutMs; waitedMs += 50) await clock.sleep(50)
   }
 
-  /** This box was declared gone. The new incarnation comes first: what ends now may have been taken over from the old one. */
+  /** Takes a new incarnation after the peers declared this box gone. It does so before it ends its requests, since another box may have taken them over from the old incarnation. */
   #renewIncarnation (): void {
     const { view, log, clock, random, owner } = this.#parts
-    view.takeIncarnation(drawIncarnation(random), clock.nowMs())
+    view.takeIncarnation(generateIncarnation(random), clock.nowMs())
     owner.endAll(ErrorCode.OwnerGone, 'this box was declared gone')
     log.warn(LogEvent.IncarnationRenewed, { incarnation: view.self.incarnation })
   }
 
   #onMemberChange (member: Member): void {
-    const { view, keepers, log } = this.#parts
+    const { view, shardManagers, log } = this.#parts
     const isSelf = member.incarnation === view.self.incarnation
     if (isSelf && member.health === MemberHealth.Gone && !this.#stopping) {
       this.#renewIncarnation()
       return
     }
-    if (!isSelf && this.#memberNews.take(member)) log.info(LogEvent.MemberChanged, { member: member.name, incarnation: member.incarnation, health: member.health, leaving: member.leaving })
-    if (member.health === MemberHealth.Gone) keepers.releaseOwner(member.incarnation)
+    if (!isSelf && this.#memberChanges.recordIfChanged(member)) log.info(LogEvent.MemberChanged, { member: member.name, incarnation: member.incarnation, health: member.health, leaving: member.leaving })
+    if (member.health === MemberHealth.Gone) shardManagers.releaseOwner(member.incarnation)
     this.#reconciler.reconcileSoon()
   }
 }
--- a/box/runtime/src/boxEnvironment.ts
+++ b/box/runtime/src/boxEnvironment.ts
@@ -6,7 +6,7 @@
 import { type Metrics } from '@reelspan/telemetry.metrics'
 import { type EngineClient, type RelayClient, type ServiceClient, type UpstreamProbe } from '@reelspan/upstream.client'
 
-/** Everything that a box gets from outside. With fakes in its place, a box runs without network and real time. */
+/** External dependencies of a box. With fakes, a box runs without network and real time. */
 export interface BoxEnvironment {
   settings: Settings
   clock: Clock
@@ -15,9 +15,9 @@
   platform: PlatformReader
   engines: EngineClient
   services: ServiceClient
-  /** For requests that are relayed as they are. Without it, there are none. */
+  /** Sends relayed requests to upstreams. Without it, the box relays no requests. */
   relayClient?: RelayClient
-  /** Looks whether upstreams whose answers broke off are still there. */
+  /** Checks whether an upstream still runs after it aborted an answer. */
   probe: UpstreamProbe
   log: Log
   metrics: Metrics
--- a/box/runtime/src/boxParts.ts
+++ b/box/runtime/src/boxParts.ts
@@ -17,60 +17,60 @@
 import { type UpstreamReport, type UpstreamReports } from '@reelspan/upstream.health'
 import { type ReturnTimes, type SendPermits } from '@reelspan/upstream.limits'
 import { type Backoffs, type SignalObserver, type UpstreamStates } from '@reelspan/upstream.signals'
-import { type BeliefAges } from './beliefAges.js'
+import { type CachedStateAges } from './cachedStateAges.js'
 import { type Box } from './box.js'
 import { type BoxEnvironment } from './boxEnvironment.js'
 import { type FailureLog } from './failureLog.js'
 import { type PeerDispatch } from './peerDispatch.js'
 import { type ConnectionShares } from './connectionShares.js'
-import { type PlatformContactWatch } from './platformContactWatch.js'
+import { type PlatformContactTracker } from './platformContactTracker.js'
 import { type RequestRouter } from './requestRouter.js'
 import { type ResourceApi } from './resourceApi.js'
-import { type ShardKeepers } from './shardKeepers.js'
+import { type ShardManagers } from './shardManagers.js'
 import { type UpstreamsByAddress } from './upstreamsByAddress.js'
 import { type WatcherRole } from './watcherRole.js'
 
-/** Everything that makes up a box. */
+/** The parts of a box, as registered in its container. */
 export interface BoxParts extends BoxEnvironment {
-  /** Notices that this process stood still. */
-  pauses: PauseWatch
-  /** Tells of calls that failed and were got over. */
+  /** Detects that the process was suspended or the event loop was blocked. */
+  pauseDetector: PauseWatch
+  /** Logs failed calls that their callers recover from, and background tasks that failed unexpectedly. */
   failures: FailureLog
   view: MembershipView
   declarations: ConfigStore<Configuration>
-  /** The platform's list as it was last read. */
+  /** The platform's fleet list as last read. */
   fleetList: ConfigStore<FleetList>
-  /** The same, with entries that lapsed while the platform was away. */
+  /** The list that this box acts on: the platform's list plus entries that may only have expired during a platform outage. */
   fleet: GuardedFleet
-  /** Whether this box watches the platform for its zone. */
+  /** Whether this box watches the platform on behalf of its availability zone. */
   watcherRole: WatcherRole
-  platformContact: PlatformContactWatch
-  /** The list that this box acts by, by address. */
+  platformContact: PlatformContactTracker
+  /** Index by address of the upstreams that this box acts on. */
   upstreams: UpstreamsByAddress
   connectionShares: ConnectionShares
   followers: Record<Collection, ConfigFollower>
-  /** That the declarations in force here are new enough for requests with accounts' keys. */
-  proof: ConfigurationProof
-  proofKeeper?: ProofKeeper
-  /** Buckets of client accounts whose home is this box. */
-  limitBook: LimitBook
+  /** Freshness proof of the declarations in force, required for requests with an account key. */
+  freshnessProof: ConfigurationProof
+  proofRenewer?: ProofKeeper
+  /** Token buckets of the client accounts that this box coordinates. */
+  accountBuckets: LimitBook
   limiter: SharedLimiter
   admission: Admission
   prober: Prober
   brokenRuns: BrokenRuns
   upstreamReports: UpstreamReports
-  reportFlood: Flood<UpstreamReport>
-  /** What upstreams advertise in their responses. */
+  reportBroadcast: Flood<UpstreamReport>
+  /** Rate limits and draining that upstreams advertise in their responses, to this box or any other. */
   upstreamStates: UpstreamStates
   backoffs: Backoffs
   signals: SignalObserver
   upstreamStateGossip: Gossip<UpstreamStateUpdate>
-  /** Buckets of permits for upstreams whose home is this box. */
-  permitBook: LimitBook
+  /** Token buckets of the upstreams whose permits this box coordinates. */
+  permitBuckets: LimitBook
   permitLimiter: HomeLimiter
   permits: SendPermits
-  returnTimes: ReturnTimes
-  /** Runs that ended with their upstreams, at any box. */
+  retryTimes: ReturnTimes
+  /** Attempts during which an upstream process ended, at any box. */
   runHistory: RunHistory
   runGossip: Gossip<RunEvent>
   quarantine: Quarantine
@@ -78,23 +78,23 @@
   placer: Placer
   owner: Owner
   relay?: Relay
-  keepers: ShardKeepers
-  beliefAges: BeliefAges
+  shardManagers: ShardManagers
+  cachedStateAges: CachedStateAges
   router: RequestRouter
   dispatch: PeerDispatch
   resources: ResourceApi
   lookup: (availabilityZone?: string) => LookupAnswer
-  vouchHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
+  confirmRunningHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
   box: Box
 }
 
-/** What the parts of a box get from outside, without the parts. */
+/** Selects the environment of a box from its parts. */
 export function environmentOf ({ settings, clock, random, link, platform, engines, services, probe, log, metrics }: BoxParts): BoxEnvironment {
   return { settings, clock, random, link, platform, engines, services, probe, log, metrics }
 }
 
-/** Peer addresses of boxes that the platform lists or the settings name, without this one's. */
-export function listedPeers ({ fleet, settings, view }: Pick<BoxParts, 'fleet' | 'settings' | 'view'>): string[] {
+/** Peer addresses of all other boxes in the fleet list or among the seed addresses. */
+export function listedPeerAddresses ({ fleet, settings, view }: Pick<BoxParts, 'fleet' | 'settings' | 'view'>): string[] {
   const addresses = new Set([...fleet.value.boxes.map(({ peerAddress }) => peerAddress), ...settings.membership.seedAddresses])
   return [...addresses].filter((address) => address !== view.self.peerAddress)
 }
--- a/box/runtime/src/beliefAges.ts
+++ b/box/runtime/src/cachedStateAges.ts
@@ -2,33 +2,33 @@
 import { Collection } from '@reelspan/core.messages'
 import { type LabelledValue } from '@reelspan/telemetry.metrics'
 
-export interface BeliefAgesOptions {
+export interface CachedStateAgesOptions {
   clock: Clock
-  /** How long ago the platform answered anyone, as far as this box knows. */
-  platformSilentMs: () => number | undefined
-  /** How long ago the engine spoke that has been silent longest, of those that this box schedules. */
+  /** Time since the platform last answered any box, as far as this box knows. */
+  sincePlatformContactMs: () => number | undefined
+  /** Age of the oldest last report among the engines that this box schedules. */
   oldestReportAgeMs: () => number | undefined
 }
 
-/** How old what this box acts by is, for its metrics. */
-export class BeliefAges {
-  readonly #opts: BeliefAgesOptions
+/** Ages of the cached state that this box acts on, for its metrics. */
+export class CachedStateAges {
+  readonly #opts: CachedStateAgesOptions
   readonly #adoptedAtMs = new Map<Collection, number>()
 
-  constructor (opts: BeliefAgesOptions) {
+  constructor (opts: CachedStateAgesOptions) {
     this.#opts = opts
   }
 
-  /** A new revision is in force. */
-  noteAdopted (collection: Collection): void {
+  /** Records that a new revision is in force. */
+  recordAdopted (collection: Collection): void {
     this.#adoptedAtMs.set(collection, this.#opts.clock.nowMs())
   }
 
   values (): LabelledValue[] {
-    const { platformSilentMs, oldestReportAgeMs } = this.#opts
+    const { sincePlatformContactMs, oldestReportAgeMs } = this.#opts
     return [
       ...Object.values(Collection).map((collection) => ({ labels: { belief: collection }, value: this.#adoptedAgeMs(collection) })),
-      { labels: { belief: 'platformContact' }, value: platformSilentMs() },
+      { labels: { belief: 'platformContact' }, value: sincePlatformContactMs() },
       { labels: { belief: 'engineReports' }, value: oldestReportAgeMs() },
     ]
   }
--- a/box/runtime/src/connectionShares.ts
+++ b/box/runtime/src/connectionShares.ts
@@ -4,11 +4,11 @@
 export interface ConnectionSharesOptions {
   configuration: () => Configuration
   upstreams: UpstreamsByAddress
-  /** Boxes that take work, this one included. */
+  /** Number of boxes that take work, including this one. */
   boxCount: () => number
 }
 
-/** How many connections of each upstream are this box's: what its pool declares to take of all boxes together, in equal parts. */
+/** Divides the connections that a pool allows per upstream evenly among all boxes. */
 export class ConnectionShares {
   readonly #opts: ConnectionSharesOptions
 
@@ -16,11 +16,11 @@
     this.#opts = opts
   }
 
-  /** The share in the upstream at an address, or nothing where its pool declares no number. */
+  /** This box's share of the connections to the upstream at an address, or undefined if its pool declares no maximum. */
   at (address: string): number | undefined {
     const { configuration, upstreams, boxCount } = this.#opts
     const upstream = upstreams.at(address)
-    const most = upstream && configuration().pool(upstream.pool)?.maxConnections
-    return most === undefined ? undefined : Math.max(1, Math.floor(most / Math.max(1, boxCount())))
+    const maxConnections = upstream && configuration().pool(upstream.pool)?.maxConnections
+    return maxConnections === undefined ? undefined : Math.max(1, Math.floor(maxConnections / Math.max(1, boxCount())))
   }
 }
--- a/box/runtime/src/createAccountParts.ts
+++ b/box/runtime/src/createAccountParts.ts
@@ -5,32 +5,32 @@
 import { type BucketPlan, EvenShareLimiter, HomeLimiter, LimitBook } from '@reelspan/membership.limits'
 import { LogEvent } from '@reelspan/telemetry.log'
 import { type BoxParts } from './boxParts.js'
-import { sideShare, singleShare } from './limitShares.js'
+import { reachableShare, singleBoxShare } from './limitShares.js'
 
-/** Clocks of two machines run apart by less than a thousandth; this is what may pass between the decision on a request and its start, and more. */
+/** Covers the time between the admission of a request and its start, and clock drift between two machines, which is below 0.1 %. */
 const PROOF_SLACK_MS = 200
 
-/** How long a proof serves, if one is asked for. */
-function proofBoundMs ({ settings }: BoxParts): number | undefined {
+/** How old a freshness proof may be, or undefined if the settings require none. */
+function maxFreshnessProofAgeMs ({ settings }: BoxParts): number | undefined {
   const { keyProofMs } = settings.accounts
   return keyProofMs === undefined ? undefined : Math.max(1, keyProofMs - PROOF_SLACK_MS)
 }
 
-/** Proof that the declarations in force here are new enough for keyed requests. */
-export function createProof (parts: BoxParts): ConfigurationProof {
+/** Freshness proof of the declarations in force, required for requests with an account key. */
+export function createFreshnessProof (parts: BoxParts): ConfigurationProof {
   const { clock, declarations } = parts
-  return new ConfigurationProof({ clock, revision: () => declarations.revision, boundMs: proofBoundMs(parts) })
+  return new ConfigurationProof({ clock, revision: () => declarations.revision, boundMs: maxFreshnessProofAgeMs(parts) })
 }
 
-/** What keeps the proof young; nothing where none is asked for. */
-export function createProofKeeper (parts: BoxParts): ProofKeeper | undefined {
-  const { clock, random, proof, declarations, followers, failures, log, prober, settings, view, watcherRole } = parts
-  const boundMs = proofBoundMs(parts)
+/** Renews the freshness proof before it expires; undefined if the settings require no proof. */
+export function createProofRenewer (parts: BoxParts): ProofKeeper | undefined {
+  const { clock, random, freshnessProof, declarations, followers, failures, log, prober, settings, view, watcherRole } = parts
+  const boundMs = maxFreshnessProofAgeMs(parts)
   if (boundMs === undefined) return undefined
   return new ProofKeeper({
     clock,
     random,
-    proof,
+    proof: freshnessProof,
     boundMs,
     isInUse: () => settings.accounts.required || declarations.value.accounts().length > 0,
     role: () => watcherRole.proofRole(),
@@ -41,28 +41,28 @@
       if (holds) log.info(LogEvent.AccountsProofChanged, fields)
       else log.warn(LogEvent.AccountsProofChanged, fields)
     },
-    onTaskError: (thrown) => failures.noteTask('proofKeeper', thrown),
+    onTaskError: (thrown) => failures.recordTask('proofKeeper', thrown),
   })
 }
 
-/** The buckets of client accounts whose home is this box. */
-export function createLimitBook (parts: BoxParts): LimitBook {
+/** Token buckets of the client accounts that this box coordinates. */
+export function createAccountBuckets (parts: BoxParts): LimitBook {
   const { clock, view } = parts
-  return new LimitBook({ clock, planOf: (account) => planOf(parts, account, sideShare(view)) })
+  return new LimitBook({ clock, planOf: (account) => planOf(parts, account, reachableShare(view)) })
 }
 
 export function createLimiter (parts: BoxParts): HomeLimiter {
-  const { clock, link, limitBook, view } = parts
-  const alone = new EvenShareLimiter({ clock, planOf: (account) => planOf(parts, account, singleShare(view)) })
-  const limiter = new HomeLimiter({ clock, link, messages: new AccountMessages(), book: limitBook, alone, members: () => view.takingWork(), self: () => view.self })
-  view.onChange(() => limitBook.retain((account) => limiter.isHome(account)))
+  const { clock, link, accountBuckets, view } = parts
+  const isolatedLimiter = new EvenShareLimiter({ clock, planOf: (account) => planOf(parts, account, singleBoxShare(view)) })
+  const limiter = new HomeLimiter({ clock, link, messages: new AccountMessages(), book: accountBuckets, alone: isolatedLimiter, members: () => view.takingWork(), self: () => view.self })
+  view.onChange(() => accountBuckets.retain((account) => limiter.isHome(account)))
   return limiter
 }
 
 export function createAdmission (parts: BoxParts): Admission {
-  const { clock, declarations, limiter, log, metrics, proof, settings } = parts
-  const patience = new AccessPatience({ clock, changed: (signal) => declarations.waitAbove(declarations.revision, signal) })
-  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof, limiter, patience, log, metrics })
+  const { clock, declarations, limiter, log, metrics, freshnessProof, settings } = parts
+  const waitForKeys = new AccessPatience({ clock, changed: (signal) => declarations.waitAbove(declarations.revision, signal) })
+  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof: freshnessProof, limiter, patience: waitForKeys, log, metrics })
 }
 
 function planOf (parts: BoxParts, account: string, share: number): BucketPlan | undefined {
--- a/box/runtime/src/createBox.ts
+++ b/box/runtime/src/createBox.ts
@@ -7,33 +7,33 @@
 import { type EngineClient } from '@reelspan/upstream.client'
 import { UpstreamReports } from '@reelspan/upstream.health'
 import { asFunction, asValue, createContainer, InjectionMode } from 'awilix'
-import { BeliefAges } from './beliefAges.js'
+import { CachedStateAges } from './cachedStateAges.js'
 import { Box } from './box.js'
 import { type BoxEnvironment } from './boxEnvironment.js'
-import { type BoxParts, environmentOf, listedPeers } from './boxParts.js'
+import { type BoxParts, environmentOf, listedPeerAddresses } from './boxParts.js'
 import { ConnectionShares } from './connectionShares.js'
-import { createAdmission, createLimitBook, createLimiter, createProof, createProofKeeper } from './createAccountParts.js'
-import { createContact, createDeclarations, createFleet, createFleetList, createFollowers, createWatcherRole } from './createConfigParts.js'
-import { createPermitBook, createPermitLimiter, createPermits, createReturnTimes } from './createLimitParts.js'
+import { createAdmission, createAccountBuckets, createLimiter, createFreshnessProof, createProofRenewer } from './createAccountParts.js'
+import { createPlatformContact, createDeclarations, createFleet, createFleetList, createFollowers, createWatcherRole } from './createConfigParts.js'
+import { createPermitBuckets, createPermitLimiter, createPermits, createRetryTimes } from './createLimitParts.js'
 import { createPlacer } from './createPlacer.js'
-import { createBrokenRuns, createOwner, createQuarantine, createRecords, createRelay, createReportFlood, createRunGossip, recordLifeMs } from './createRequestParts.js'
+import { createBrokenRuns, createOwner, createQuarantine, createRecords, createRelay, createReportBroadcast, createRunGossip, recordLifeMs } from './createRequestParts.js'
 import { createBackoffs, createSignalObserver, createUpstreamStateGossip, createUpstreamStates } from './createSignalParts.js'
-import { drawIncarnation } from './drawIncarnation.js'
+import { generateIncarnation } from './generateIncarnation.js'
 import { FailureLog } from './failureLog.js'
 import { LoggedEngineClient } from './loggedEngineClient.js'
 import { LoggedPeerLink } from './loggedPeerLink.js'
 import { PeerDispatch } from './peerDispatch.js'
 import { RequestRouter } from './requestRouter.js'
 import { ResourceApi } from './resourceApi.js'
-import { ShardKeepers } from './shardKeepers.js'
+import { ShardManagers } from './shardManagers.js'
 import { UpstreamsByAddress } from './upstreamsByAddress.js'
 
-/** Composes a box. Nothing runs until it is started. */
+/** Composes a box from its parts. Nothing runs until the box is started. */
 export function createBox (environment: BoxEnvironment): Box {
   const container = createContainer<BoxParts>({ injectionMode: InjectionMode.PROXY, strict: true })
   Object.entries({ relayClient: undefined, ...environment }).forEach(([name, value]) => container.register(name, asValue(value)))
   container.register({
-    pauses: asFunction((parts: BoxParts) => new PauseWatch(parts)).singleton(),
+    pauseDetector: asFunction((parts: BoxParts) => new PauseWatch(parts)).singleton(),
     failures: asFunction((parts: BoxParts) => new FailureLog(parts)).singleton(),
     link: asFunction((parts: BoxParts) => createLink(environment.link, parts)).singleton(),
     engines: asFunction((parts: BoxParts) => createEngines(environment.engines, parts)).singleton(),
@@ -42,27 +42,27 @@
     fleetList: asFunction(createFleetList).singleton(),
     fleet: asFunction(createFleet).singleton(),
     watcherRole: asFunction(createWatcherRole).singleton(),
-    platformContact: asFunction(createContact).singleton(),
+    platformContact: asFunction(createPlatformContact).singleton(),
     upstreams: asFunction((parts: BoxParts) => new UpstreamsByAddress(parts)).singleton(),
     connectionShares: asFunction(createConnectionShares).singleton(),
     followers: asFunction(createFollowers).singleton(),
-    proof: asFunction(createProof).singleton(),
-    proofKeeper: asFunction(createProofKeeper).singleton(),
-    limitBook: asFunction(createLimitBook).singleton(),
+    freshnessProof: asFunction(createFreshnessProof).singleton(),
+    proofRenewer: asFunction(createProofRenewer).singleton(),
+    accountBuckets: asFunction(createAccountBuckets).singleton(),
     limiter: asFunction(createLimiter).singleton(),
     admission: asFunction(createAdmission).singleton(),
     prober: asFunction(createProber).singleton(),
     brokenRuns: asFunction(createBrokenRuns).singleton(),
     upstreamReports: asFunction((parts: BoxParts) => new UpstreamReports(parts)).singleton(),
-    reportFlood: asFunction(createReportFlood).singleton(),
+    reportBroadcast: asFunction(createReportBroadcast).singleton(),
     upstreamStates: asFunction(createUpstreamStates).singleton(),
     backoffs: asFunction(createBackoffs).singleton(),
     signals: asFunction(createSignalObserver).singleton(),
     upstreamStateGossip: asFunction(createUpstreamStateGossip).singleton(),
-    permitBook: asFunction(createPermitBook).singleton(),
+    permitBuckets: asFunction(createPermitBuckets).singleton(),
     permitLimiter: asFunction(createPermitLimiter).singleton(),
     permits: asFunction(createPermits).singleton(),
-    returnTimes: asFunction(createReturnTimes).singleton(),
+    retryTimes: asFunction(createRetryTimes).singleton(),
     runHistory: asFunction((parts: BoxParts) => new RunHistory(parts)).singleton(),
     runGossip: asFunction(createRunGossip).singleton(),
     quarantine: asFunction(createQuarantine).singleton(),
@@ -70,13 +70,13 @@
     placer: asFunction(createPlacer).singleton(),
     owner: asFunction(createOwner).singleton(),
     relay: asFunction(createRelay).singleton(),
-    keepers: asFunction(createKeepers).singleton(),
-    beliefAges: asFunction(createBeliefAges).singleton(),
+    shardManagers: asFunction(createShardManagers).singleton(),
+    cachedStateAges: asFunction(createCachedStateAges).singleton(),
     router: asFunction((parts: BoxParts) => new RequestRouter(parts)).singleton(),
     dispatch: asFunction(createDispatch).singleton(),
     resources: asFunction((parts: BoxParts) => new ResourceApi(parts)).singleton(),
     lookup: asFunction(createLookup).singleton(),
-    vouchHere: asFunction(createVouchHere).singleton(),
+    confirmRunningHere: asFunction(createConfirmRunningHere).singleton(),
     box: asFunction((parts: BoxParts) => new Box(parts)).singleton(),
   })
   return container.cradle.box
@@ -97,7 +97,7 @@
     availabilityZone: box.availabilityZone,
     peerAddress: listen.peerAddress,
     callerAddress: listen.callerAddress,
-    incarnation: drawIncarnation(random),
+    incarnation: generateIncarnation(random),
     version: 0,
     health: MemberHealth.Alive,
     leaving: false,
@@ -112,19 +112,19 @@
     ...environmentOf(parts),
     ...settings.membership,
     view,
-    listedAddresses: () => listedPeers(parts),
+    listedAddresses: () => listedPeerAddresses(parts),
     revisions: () => ({ [Collection.Declarations]: declarations.revision, [Collection.Fleet]: fleetList.revision }),
     inFlight: () => parts.owner.inFlight + (parts.relay?.inFlight ?? 0),
     platformAnswering: () => parts.platformContact.answering,
-    onPlatformAnswering: (told) => parts.platformContact.hear(told),
-    proof: () => parts.proof.told,
-    onPeerProof: (told, askedAtMs) => parts.proof.hear(told, askedAtMs),
+    onPlatformAnswering: (report) => parts.platformContact.receivePeerReport(report),
+    proof: () => parts.freshnessProof.told,
+    onPeerProof: (report, askedAtMs) => parts.freshnessProof.hear(report, askedAtMs),
     newsDigests: () => ({ runsDigest: parts.runHistory.digest || undefined, upstreamStatesDigest: parts.upstreamStates.digest || undefined }),
     onPeerNewsDigests: (address, { runsDigest, upstreamStatesDigest }) => {
       parts.runGossip.hear(address, runsDigest)
       parts.upstreamStateGossip.hear(address, upstreamStatesDigest)
     },
-    onTaskError: (thrown) => parts.failures.noteTask('prober', thrown),
+    onTaskError: (thrown) => parts.failures.recordTask('prober', thrown),
     onPeerRevisions: (address, revisions) => Object.values(Collection).forEach((collection) => {
       parts.followers[collection].observeRevision(address, revisions[collection])
     }),
@@ -139,24 +139,24 @@
   })
 }
 
-function createKeepers (parts: BoxParts): ShardKeepers {
-  return new ShardKeepers({
+function createShardManagers (parts: BoxParts): ShardManagers {
+  return new ShardManagers({
     ...environmentOf(parts),
     failures: parts.failures,
-    pauses: parts.pauses,
+    pauseDetector: parts.pauseDetector,
     declarations: parts.declarations,
     fleet: parts.fleet,
     listOrder: () => parts.fleetList.revision,
     limitPerSecond: (engine) => parts.upstreamStates.perSecond(engine),
     view: parts.view,
-    vouchHere: parts.vouchHere,
+    confirmRunningHere: parts.confirmRunningHere,
     isGone: (incarnation) => parts.view.get(incarnation)?.health === MemberHealth.Gone,
     lastContactMs: () => Math.max(parts.prober.lastMajorityContactMs, parts.platform.lastAnswerMs),
   })
 }
 
-function createBeliefAges ({ clock, platformContact, keepers }: BoxParts): BeliefAges {
-  return new BeliefAges({ clock, platformSilentMs: () => platformContact.silentMs, oldestReportAgeMs: () => keepers.oldestReportAgeMs() })
+function createCachedStateAges ({ clock, platformContact, shardManagers }: BoxParts): CachedStateAges {
+  return new CachedStateAges({ clock, sincePlatformContactMs: () => platformContact.sinceContactMs, oldestReportAgeMs: () => shardManagers.oldestReportAgeMs() })
 }
 
 function createDispatch (parts: BoxParts): PeerDispatch {
@@ -164,18 +164,18 @@
     prober: parts.prober,
     view: parts.view,
     stores: { [Collection.Declarations]: parts.declarations, [Collection.Fleet]: parts.fleetList },
-    keepers: parts.keepers,
+    shardManagers: parts.shardManagers,
     owner: parts.owner,
     records: parts.records,
     runGossip: parts.runGossip,
-    limitBook: parts.limitBook,
+    accountBuckets: parts.accountBuckets,
     upstreamStateGossip: parts.upstreamStateGossip,
-    permitBook: parts.permitBook,
+    permitBuckets: parts.permitBuckets,
     upstreamStates: parts.upstreamStates,
-    onUpstreamReports: (reports) => parts.reportFlood.tell(reports.filter((report) => parts.upstreamReports.add(report))),
+    onUpstreamReports: (reports) => parts.reportBroadcast.tell(reports.filter((report) => parts.upstreamReports.add(report))),
     lookup: parts.lookup,
-    vouchHere: parts.vouchHere,
-    describeForStatus: () => parts.keepers.describe(),
+    confirmRunningHere: parts.confirmRunningHere,
+    describeForStatus: () => parts.shardManagers.describe(),
     log: parts.log,
   })
 }
@@ -186,8 +186,8 @@
   return (availabilityZone) => answerLookup({ clock, random, view, loadOf, availabilityZone, keepMs: settings.requests.lookupKeepMs, boxCount: settings.requests.lookupBoxes })
 }
 
-/** This process answers for its own incarnation alone. */
-function createVouchHere (parts: BoxParts): BoxParts['vouchHere'] {
+/** This process confirms only requests of its own current incarnation. */
+function createConfirmRunningHere (parts: BoxParts): BoxParts['confirmRunningHere'] {
   return (incarnation, requestIds) => incarnation === parts.view.self.incarnation
     ? parts.owner.vouch(incarnation, requestIds)
     : undefined
--- a/box/runtime/src/createConfigParts.ts
+++ b/box/runtime/src/createConfigParts.ts
@@ -4,23 +4,23 @@
 import { Collection } from '@reelspan/core.messages'
 import { LogEvent } from '@reelspan/telemetry.log'
 import { type BoxParts, environmentOf } from './boxParts.js'
-import { PlatformContactWatch } from './platformContactWatch.js'
+import { PlatformContactTracker } from './platformContactTracker.js'
 import { WatcherRole } from './watcherRole.js'
 
-/** Some times the 0.3 s that a whole configuration of thousands of routes takes on a small box's line. */
+/** A few times the 0.3 s that a whole configuration of thousands of routes takes over the network link of a small box. */
 const PEER_TIMEOUT_MS = 1000
 
-/** Declarations are adopted whole and valid, or not at all. */
+/** Store of the declarations, which adopts a revision only if all of it is valid. */
 export function createDeclarations (): ConfigStore<Configuration> {
   return new ConfigStore(new DeclarationsChecker().parse)
 }
 
-/** The platform's list as it was last read. */
+/** Store of the platform's fleet list as last read. */
 export function createFleetList (): ConfigStore<FleetList> {
   return new ConfigStore(parseFleetList)
 }
 
-/** The list that this box acts by. */
+/** The fleet list that this box acts on. */
 export function createFleet (parts: BoxParts): GuardedFleet {
   const { clock, fleetList, platformContact } = parts
   return new GuardedFleet({
@@ -34,36 +34,36 @@
   })
 }
 
-/** Whether the platform answers anyone. */
-export function createContact ({ clock, log, platform, watcherRole }: BoxParts): PlatformContactWatch {
-  return new PlatformContactWatch({ clock, log, isWatcher: () => watcherRole.holds(), lastAnswerMs: () => platform.lastAnswerMs })
+/** Tracks whether the platform answers any box. */
+export function createPlatformContact ({ clock, log, platform, watcherRole }: BoxParts): PlatformContactTracker {
+  return new PlatformContactTracker({ clock, log, isWatcher: () => watcherRole.isWatcher(), lastAnswerMs: () => platform.lastAnswerMs })
 }
 
-/** Whether this box watches the platform for its zone. */
+/** Decides whether this box watches the platform on behalf of its availability zone. */
 export function createWatcherRole (parts: BoxParts): WatcherRole {
   const { clock, settings, view } = parts
   return new WatcherRole({ clock, settings, view, lastMajorityContactMs: () => parts.prober.lastMajorityContactMs })
 }
 
-/** What keeps declarations and list up to date. */
+/** Followers that keep the declarations and the fleet list up to date. */
 export function createFollowers (parts: BoxParts): Record<Collection, ConfigFollower> {
   const create = (collection: Collection, store: ConfigStore<unknown>) => new ConfigFollower({
     ...environmentOf(parts),
     store,
     collection,
-    isWatcher: () => parts.watcherRole.holds(),
+    isWatcher: () => parts.watcherRole.isWatcher(),
     watchWaitMs: parts.settings.platform.watchWaitMs,
     backstopPollMs: parts.settings.platform.backstopPollMs,
     peerTimeoutMs: PEER_TIMEOUT_MS,
     longestBackoffMs: parts.settings.platform.longestBackoffMs,
     onAnswer: () => {
-      if (collection === Collection.Fleet) parts.platformContact.answered()
+      if (collection === Collection.Fleet) parts.platformContact.recordAnswer()
     },
-    onReachable: (reachable, details) => parts.platformContact.note(reachable, details),
+    onReachable: (reachable, details) => parts.platformContact.recordReachability(reachable, details),
     onConfirmed: (revision, askedAtMs) => {
-      if (collection === Collection.Declarations) parts.proof.noteRead(revision, askedAtMs)
+      if (collection === Collection.Declarations) parts.freshnessProof.noteRead(revision, askedAtMs)
     },
-    onTaskError: (thrown) => parts.failures.noteTask(`follower of ${collection}`, thrown),
+    onTaskError: (thrown) => parts.failures.recordTask(`follower of ${collection}`, thrown),
     onRejected: (problems, revision) => parts.log.warn(LogEvent.RevisionRejected, { collection, revision, problems }),
   })
   return {
--- a/box/runtime/src/createLimitParts.ts
+++ b/box/runtime/src/createLimitParts.ts
@@ -3,28 +3,28 @@
 import { permitBucket, PermitMessages, ReturnTimes, SendPermits } from '@reelspan/upstream.limits'
 import { type UpstreamStates } from '@reelspan/upstream.signals'
 import { type BoxParts } from './boxParts.js'
-import { sideShare, singleShare } from './limitShares.js'
+import { reachableShare, singleBoxShare } from './limitShares.js'
 
-/** The buckets of permits whose home is this box. It does not know what another home gave out before, so they begin empty. */
-export function createPermitBook ({ clock, upstreamStates, view }: BoxParts): LimitBook {
-  return new LimitBook({ clock, planOf: (upstream) => permitBucketOf(upstreamStates, upstream, sideShare(view), 0) })
+/** Token buckets of the upstreams whose permits this box coordinates. They start empty, since a previous coordinator may have granted permits that this box does not know of. */
+export function createPermitBuckets ({ clock, upstreamStates, view }: BoxParts): LimitBook {
+  return new LimitBook({ clock, planOf: (upstream) => permitBucketOf(upstreamStates, upstream, reachableShare(view), 0) })
 }
 
 export function createPermitLimiter (parts: BoxParts): HomeLimiter {
-  const { clock, link, permitBook, random, upstreamStates, view } = parts
-  // Boxes that lose a home at the same moment begin at different points of the way to their first permit.
-  const alone = new EvenShareLimiter({ clock, planOf: (upstream) => permitBucketOf(upstreamStates, upstream, singleShare(view), random.nextFloat()) })
+  const { clock, link, permitBuckets, random, upstreamStates, view } = parts
+  // Boxes that lose their coordinator at the same moment start with random bucket levels, so that their first permits are spread over time.
+  const isolatedLimiter = new EvenShareLimiter({ clock, planOf: (upstream) => permitBucketOf(upstreamStates, upstream, singleBoxShare(view), random.nextFloat()) })
   const limiter = new HomeLimiter({
     clock,
     link,
     messages: new PermitMessages((upstream) => upstreamStates.updateOf(upstream)),
-    book: permitBook,
-    alone,
-    onHomeAnswered: (upstream) => alone.forget(upstream),
+    book: permitBuckets,
+    alone: isolatedLimiter,
+    onHomeAnswered: (upstream) => isolatedLimiter.forget(upstream),
     members: () => view.takingWork(),
     self: () => view.self,
   })
-  view.onChange(() => permitBook.retain((upstream) => limiter.isHome(upstream)))
+  view.onChange(() => permitBuckets.retain((upstream) => limiter.isHome(upstream)))
   return limiter
 }
 
@@ -32,14 +32,14 @@
   return new SendPermits({ clock, limits: upstreamStates, backoffs, limiter: permitLimiter, metrics })
 }
 
-export function createReturnTimes ({ clock, view }: BoxParts): ReturnTimes {
+export function createRetryTimes ({ clock, view }: BoxParts): ReturnTimes {
   return new ReturnTimes({ clock, boxCount: () => view.takingWork().length })
 }
 
-/** Answers a box that asks for permits of an upstream whose home this box is, as that box sees the members. */
-export function givePermits ({ upstreamStates, permitBook }: Pick<BoxParts, 'upstreamStates' | 'permitBook'>, { upstream, cost, said }: MessageOf<MessageType.UpstreamTake>): PeerMessage {
+/** Answers a box that asks for permits of an upstream, since it considers this box their coordinator. */
+export function acquirePermits ({ upstreamStates, permitBuckets }: Pick<BoxParts, 'upstreamStates' | 'permitBuckets'>, { upstream, cost, said }: MessageOf<MessageType.UpstreamTake>): PeerMessage {
   if (said) upstreamStates.add(said)
-  return { type: MessageType.UpstreamTaken, waitMs: permitBook.take(upstream, cost) }
+  return { type: MessageType.UpstreamTaken, waitMs: permitBuckets.take(upstream, cost) }
 }
 
 function permitBucketOf (upstreamStates: UpstreamStates, upstream: string, share: number, firstLevel: number) {
--- a/box/runtime/src/createPlacer.ts
+++ b/box/runtime/src/createPlacer.ts
@@ -5,10 +5,10 @@
 import { enginesOf } from '@reelspan/scheduling.shards'
 import { type BoxParts } from './boxParts.js'
 
-/** Engines of each pool that an owner asks before it places without a scheduler; it takes the better of two. */
+/** Engines of each pool that an owner polls when it places without a scheduler; it uses the less loaded one. */
 const FALLBACK_SAMPLE = 2
 
-/** Whoever chooses engines for this box's requests. */
+/** Chooses engines for the requests of this box. */
 export function createPlacer (parts: BoxParts): Placer {
   const { clock, link, settings, view } = parts
   const index = createPrefixIndex(settings.scheduling.prefixIndex)
@@ -18,13 +18,13 @@
     link,
     selfIncarnation: () => view.self.incarnation,
     schedulers: () => view.takingWork(),
-    shardsOfModel: (model) => parts.keepers.shardsOfModel(model),
-    localScheduler: (shardId) => parts.keepers.scheduler(shardId),
+    shardsOfModel: (model) => parts.shardManagers.shardsOfModel(model),
+    localScheduler: (shardId) => parts.shardManagers.scheduler(shardId),
     fallback: createFallback(parts, index),
   })
 }
 
-/** A strategy without schedulers, to measure against. */
+/** A strategy without schedulers, as a baseline for benchmarks. */
 function createBaseline (parts: BoxParts, strategy: PickerKind, index: PrefixIndex): Placer {
   const { clock, random, engines, settings, view } = parts
   const { admission, countOwn, reportPeriodMs } = settings.scheduling
@@ -37,18 +37,18 @@
       clock,
       engines,
       periodMs: reportPeriodMs,
-      listed: () => parts.keepers.shards().flatMap(enginesOf),
-      onTaskError: (thrown) => parts.failures.noteTask('polledReports', thrown),
+      listed: () => parts.shardManagers.shards().flatMap(enginesOf),
+      onTaskError: (thrown) => parts.failures.recordTask('polledReports', thrown),
     }),
     index,
-    shardsOfModel: (model) => parts.keepers.shardsOfModel(model),
+    shardsOfModel: (model) => parts.shardManagers.shardsOfModel(model),
     admission,
     ownWeight: () => countOwn ? view.takingWork().length : 0,
     placesPercent: 100,
   })
 }
 
-/** What owners do while no scheduler can be reached. */
+/** Places requests at the owner while no scheduler can be reached. */
 function createFallback (parts: BoxParts, index: PrefixIndex): OwnerAlonePlacer {
   const { clock, random, engines, settings } = parts
   const { reportPeriodMs, fallbackPlacesPercent } = settings.scheduling
@@ -58,7 +58,7 @@
     decodePicker: createEnginePicker(PickerKind.TwoChoices, random),
     reports: new FreshReports({ clock, random, engines, timeoutMs: reportPeriodMs / 2, sampleSize: FALLBACK_SAMPLE }),
     index,
-    shardsOfModel: (model) => parts.keepers.shardsOfModel(model),
+    shardsOfModel: (model) => parts.shardManagers.shardsOfModel(model),
     admission: true,
     ownWeight: () => 1,
     placesPercent: fallbackPlacesPercent,
--- a/box/runtime/src/createRequestParts.ts
+++ b/box/runtime/src/createRequestParts.ts
@@ -6,16 +6,16 @@
 import { Relay } from '@reelspan/request.relay'
 import { type UpstreamReport } from '@reelspan/upstream.health'
 import { type BoxParts, environmentOf } from './boxParts.js'
-import { noteRequestEnd } from './noteRequestEnd.js'
+import { recordRequestEnd } from './recordRequestEnd.js'
 
-/** As for other calls between boxes. */
+/** Same timeout as for other calls between boxes. */
 const REPORT_TIMEOUT_MS = 300
 
 export function createRecords ({ clock, settings }: BoxParts): RecordStore {
   return new RecordStore({ clock, maxBytes: settings.requests.recordBytes, recordLifeMs: recordLifeMs(settings.requests) })
 }
 
-/** Records outlive every key that could still ask for them. */
+/** Records are kept longer than any key that can still refer to them is valid. */
 export function recordLifeMs ({ prefixLifeMs, longestRequestMs }: BoxParts['settings']['requests']): number {
   return prefixLifeMs + 2 * longestRequestMs
 }
@@ -33,17 +33,17 @@
   })
 }
 
-/** A report that is lost on the way is not asked for: it is of use for a second. */
-export function createReportFlood (parts: BoxParts): Flood<UpstreamReport> {
+/** Lost reports are not sent again, since a report is useful for only a second. */
+export function createReportBroadcast (parts: BoxParts): Flood<UpstreamReport> {
   const { clock, link } = parts
   return new Flood({
     clock,
     watchedAddresses: () => parts.prober.watchedAddresses(),
-    // The link tells of a failure.
+    // The link logs a failure.
     send: async (address, reports, signal) => {
       await link.call(address, { type: MessageType.UpstreamsTell, reports: [...reports] }, { timeoutMs: REPORT_TIMEOUT_MS, repeatable: true, signal }).catch(() => {})
     },
-    onTaskError: (thrown) => parts.failures.noteTask('reportFlood', thrown),
+    onTaskError: (thrown) => parts.failures.recordTask('reportFlood', thrown),
   })
 }
 
@@ -56,7 +56,7 @@
     messages: new RunMessages(),
     watchedAddresses: () => parts.prober.watchedAddresses(),
     onAdded: (events) => parts.quarantine.noteAdded(events),
-    onTaskError: (thrown) => parts.failures.noteTask('runGossip', thrown),
+    onTaskError: (thrown) => parts.failures.recordTask('runGossip', thrown),
   })
 }
 
@@ -69,7 +69,7 @@
   const { settings, view, declarations, fleet, log, metrics } = parts
   return new Owner({
     ...environmentOf(parts),
-    pauses: parts.pauses,
+    pauses: parts.pauseDetector,
     placer: parts.placer,
     brokenRuns: parts.brokenRuns,
     quarantine: parts.quarantine,
@@ -82,8 +82,8 @@
     upstreamTimeoutMs: settings.requests.upstreamTimeoutMs,
     lastContactMs: () => parts.prober.lastMajorityContactMs,
     hasPeers: () => view.all().length > 1,
-    onTaskError: (thrown) => parts.failures.noteTask('owner', thrown),
-    onEnd: (record, request, timings) => noteRequestEnd({ log, metrics, revision: declarations.revision }, record, request, timings),
+    onTaskError: (thrown) => parts.failures.recordTask('owner', thrown),
+    onEnd: (record, request, timings) => recordRequestEnd({ log, metrics, revision: declarations.revision }, record, request, timings),
   })
 }
 
@@ -101,8 +101,8 @@
     backoffs: parts.backoffs,
     upstreamStates: parts.upstreamStates,
     permits: parts.permits,
-    returnTimes: parts.returnTimes,
-    onClosedUnanswered: (upstream) => reportUpstream(parts, upstream),
+    returnTimes: parts.retryTimes,
+    onClosedUnanswered: (upstream) => broadcastReport(parts, upstream),
     brokenRuns: parts.brokenRuns,
     quarantine: parts.quarantine,
     configuration: () => declarations.value,
@@ -111,15 +111,15 @@
     fleetRevision: () => fleetList.revision,
     standing: () => view.self,
     boxCount: () => view.takingWork().length,
-    onTaskError: (thrown) => parts.failures.noteTask('relay', thrown),
+    onTaskError: (thrown) => parts.failures.recordTask('relay', thrown),
     ...settings.relay,
     log,
     metrics,
   })
 }
 
-/** Tells all boxes that an upstream closed a connection of this one without an answer. */
-function reportUpstream ({ random, reportFlood, upstreamReports, view }: BoxParts, upstream: string): void {
+/** Broadcasts to all boxes that an upstream closed a connection to this box without an answer. */
+function broadcastReport ({ random, reportBroadcast, upstreamReports, view }: BoxParts, upstream: string): void {
   const report = { id: random.hex(16), upstream, box: view.self.name, ageMs: 0 }
-  if (upstreamReports.add(report)) reportFlood.tell([report])
+  if (upstreamReports.add(report)) reportBroadcast.tell([report])
 }
--- a/box/runtime/src/createSignalParts.ts
+++ b/box/runtime/src/createSignalParts.ts
@@ -3,7 +3,7 @@
 import { Backoffs, SignalObserver, UpstreamStateMessages, UpstreamStates } from '@reelspan/upstream.signals'
 import { type BoxParts } from './boxParts.js'
 
-/** What upstreams advertise in their responses, to this or any other box. */
+/** Rate limits and draining that upstreams advertise in their responses, to this box or any other. */
 export function createUpstreamStates (parts: BoxParts): UpstreamStates {
   const { clock, log } = parts
   return new UpstreamStates({
@@ -24,7 +24,7 @@
     messages: new UpstreamStateMessages(),
     watchedAddresses: () => parts.prober.watchedAddresses(),
     mayTell: (update) => upstreamStates.mayTell(update),
-    onTaskError: (thrown) => parts.failures.noteTask('upstreamStateGossip', thrown),
+    onTaskError: (thrown) => parts.failures.recordTask('upstreamStateGossip', thrown),
   })
 }
 
--- a/box/runtime/src/failureLog.ts
+++ b/box/runtime/src/failureLog.ts
@@ -3,11 +3,11 @@
 import { type Log, LogEvent, type LogFields, RateLimit } from '@reelspan/telemetry.log'
 import { type Metrics } from '@reelspan/telemetry.metrics'
 
-/** A call that nobody waits for, or whose failure the caller gets over. */
+/** A failed call that no request waits for, or that its caller recovers from. */
 export interface FailedCall {
   event: LogEvent.EngineCallFailed | LogEvent.PeerCallFailed
   call: string
-  /** Who was called: an address, and a name where one is known. */
+  /** Address of the called box or engine, and its name if known. */
   target: LogFields & { address: string }
 }
 
@@ -17,65 +17,65 @@
   metrics: Metrics
 }
 
-interface ToldFailure {
-  atMs: number
-  /** Failures since then that no line has told of. */
-  untold: number
+interface LoggedFailure {
+  loggedAtMs: number
+  /** Failures since the last log line. */
+  unlogged: number
 }
 
-/** The same failure is told of this often: an engineer looks at minutes. */
-const REPEAT_MS = 60_000
-/** A small part of the lines that a box may write in a second, so that requests keep their trail. */
+/** Minimum interval between log lines for the same failure. One line a minute is enough for operators. */
+const REPEAT_INTERVAL_MS = 60_000
+/** A small part of a box's log rate limit, so that failures do not displace the trace lines of requests. */
 const MAX_LINES_PER_SECOND = 20
-/** More than the boxes and engines that one box calls in a minute. */
-const MAX_REMEMBERED = 5000
+/** More than the number of boxes and engines that one box calls in a minute. */
+const MAX_TRACKED_FAILURES = 5000
 
-/** Tells of calls that failed and were got over, and of tasks that a fault of the program ended, seldom enough for the log. The metrics count each. */
+/** Logs failed calls that their callers recover from, and background tasks that failed unexpectedly, at a limited rate. The metrics count every failure. */
 export class FailureLog {
   readonly #opts: FailureLogOptions
   readonly #rate: RateLimit
-  readonly #told = new Map<string, ToldFailure>()
+  readonly #logged = new Map<string, LoggedFailure>()
 
   constructor (opts: FailureLogOptions) {
     this.#opts = opts
     this.#rate = new RateLimit({ nowMs: () => opts.clock.nowMs(), perSecond: MAX_LINES_PER_SECOND })
   }
 
-  note ({ event, call, target }: FailedCall, thrown: unknown): void {
+  recordCall ({ event, call, target }: FailedCall, thrown: unknown): void {
     const { log, metrics } = this.#opts
     metrics.count('reelspan_calls_failed_total', { event, call })
-    const times = this.#timesToTell(`${call} ${target.address}`)
+    const times = this.#countToLog(`${call} ${target.address}`)
     if (times > 0) log.warn(event, { call, ...target, reason: errorMessage(thrown), times })
   }
 
-  /** A task threw what nothing in it expects. */
-  noteTask (task: string, thrown: unknown): void {
+  /** Records an unexpected error that a background task threw. */
+  recordTask (task: string, thrown: unknown): void {
     const { log, metrics } = this.#opts
     metrics.count('reelspan_tasks_failed_total', { task })
-    const times = this.#timesToTell(`task ${task}`)
-    if (times > 0) log.warn(LogEvent.TaskFailed, { task, reason: errorMessage(thrown), at: placeOf(thrown), times })
+    const times = this.#countToLog(`task ${task}`)
+    if (times > 0) log.warn(LogEvent.TaskFailed, { task, reason: errorMessage(thrown), at: innermostFrame(thrown), times })
   }
 
-  /** How many failures a line now tells of; 0 when there is to be no line. */
-  #timesToTell (key: string): number {
+  /** Number of failures that a log line written now reports, or 0 if no line may be written yet. */
+  #countToLog (key: string): number {
     const nowMs = this.#opts.clock.nowMs()
-    const told = this.#told.get(key) ?? { atMs: Number.NEGATIVE_INFINITY, untold: 0 }
-    const times = told.untold + 1
-    const tells = nowMs - told.atMs >= REPEAT_MS && this.#rate.take()
-    this.#told.delete(key)
-    this.#told.set(key, tells ? { atMs: nowMs, untold: 0 } : { ...told, untold: times })
-    this.#forgetLongestUnheard()
-    return tells ? times : 0
+    const previous = this.#logged.get(key) ?? { loggedAtMs: Number.NEGATIVE_INFINITY, unlogged: 0 }
+    const times = previous.unlogged + 1
+    const isLogged = nowMs - previous.loggedAtMs >= REPEAT_INTERVAL_MS && this.#rate.take()
+    this.#logged.delete(key)
+    this.#logged.set(key, isLogged ? { loggedAtMs: nowMs, unlogged: 0 } : { ...previous, unlogged: times })
+    this.#evictLeastRecentlyFailed()
+    return isLogged ? times : 0
   }
 
-  #forgetLongestUnheard (): void {
-    if (this.#told.size <= MAX_REMEMBERED) return
-    const [longestUnheard] = this.#told.keys()
-    this.#told.delete(longestUnheard)
+  #evictLeastRecentlyFailed (): void {
+    if (this.#logged.size <= MAX_TRACKED_FAILURES) return
+    const [leastRecentlyFailed] = this.#logged.keys()
+    this.#logged.delete(leastRecentlyFailed)
   }
 }
 
-/** The innermost place of a stack trace. */
-function placeOf (thrown: unknown): string | undefined {
+/** Innermost frame of an error's stack trace. */
+function innermostFrame (thrown: unknown): string | undefined {
   return thrown instanceof Error ? thrown.stack?.split('\n').find((line) => line.trimStart().startsWith('at '))?.trim() : undefined
 }
--- a/box/runtime/src/limitShares.ts
+++ b/box/runtime/src/limitShares.ts
@@ -1,15 +1,15 @@
 import { type MembershipView } from '@reelspan/membership.view'
 
-/** The part of a limit for the boxes that this one sees: of a fleet in two parts, each part may give out its part. */
-export function sideShare (view: MembershipView): number {
-  return view.live().length / knownCount(view)
+/** Share of a limit for the boxes that this box can reach. In a network partition, each side may grant its own share. */
+export function reachableShare (view: MembershipView): number {
+  return view.live().length / knownBoxCount(view)
 }
 
-/** The part of a limit for one box that can ask no other. */
-export function singleShare (view: MembershipView): number {
-  return 1 / knownCount(view)
+/** Share of a limit for a single box that reaches no coordinator. */
+export function singleBoxShare (view: MembershipView): number {
+  return 1 / knownBoxCount(view)
 }
 
-function knownCount (view: MembershipView): number {
+function knownBoxCount (view: MembershipView): number {
   return view.live().length + view.suspected().length
 }
--- a/box/runtime/src/loggedEngineClient.ts
+++ b/box/runtime/src/loggedEngineClient.ts
@@ -10,7 +10,7 @@
   nameAt: (address: string) => string | undefined
 }
 
-/** A client whose failed calls beside requests are told of in the log. Callers may get over them without a line of their own. */
+/** An engine client that logs failed calls that belong to no request, so that callers can recover from them without logging. */
 export class LoggedEngineClient extends EngineClient {
   readonly #opts: LoggedEngineClientOptions
 
@@ -20,39 +20,39 @@
   }
 
   report (address: string, opts: UpstreamCallOptions): Promise<EngineReport> {
-    return this.#noting('report', address, opts, this.#opts.engines.report(address, opts))
+    return this.#loggingFailure('report', address, opts, this.#opts.engines.report(address, opts))
   }
 
   cacheEvents (address: string, sinceSequence: number, opts: UpstreamCallOptions): Promise<CacheEventPage> {
-    return this.#noting('cacheEvents', address, opts, this.#opts.engines.cacheEvents(address, sinceSequence, opts))
+    return this.#loggingFailure('cacheEvents', address, opts, this.#opts.engines.cacheEvents(address, sinceSequence, opts))
   }
 
   release (address: string, label: HoldLabel, opts: UpstreamCallOptions): Promise<void> {
-    return this.#noting('release', address, opts, this.#opts.engines.release(address, label, opts))
+    return this.#loggingFailure('release', address, opts, this.#opts.engines.release(address, label, opts))
   }
 
-  /** The request's own lines tell of it. */
+  /** Failures are logged with the request. */
   prefill (address: string, request: PrefillRequest, opts: UpstreamCallOptions): Promise<PrefillResult> {
     return this.#opts.engines.prefill(address, request, opts)
   }
 
-  /** The request's own lines tell of it. */
+  /** Failures are logged with the request. */
   decode (address: string, request: DecodeRequest, opts: UpstreamCallOptions): AsyncIterable<DecodeEvent> {
     return this.#opts.engines.decode(address, request, opts)
   }
 
-  /** Whoever gives the order tells its outcome. */
+  /** The sender of the order logs its outcome. */
   order (address: string, order: EngineOrder, opts: UpstreamCallOptions): Promise<void> {
     return this.#opts.engines.order(address, order, opts)
   }
 
-  async #noting<T> (call: string, address: string, { signal }: UpstreamCallOptions, answer: Promise<T>): Promise<T> {
+  async #loggingFailure<T> (call: string, address: string, { signal }: UpstreamCallOptions, answer: Promise<T>): Promise<T> {
     const { failures, nameAt } = this.#opts
     try {
       return await answer
     } catch (thrown) {
-      // A call that this box has ended itself has not failed.
-      if (!signal?.aborted) failures.note({ event: LogEvent.EngineCallFailed, call, target: { upstream: nameAt(address), address } }, thrown)
+      // A call that this box aborted is not a failure.
+      if (!signal?.aborted) failures.recordCall({ event: LogEvent.EngineCallFailed, call, target: { upstream: nameAt(address), address } }, thrown)
       throw thrown
     }
   }
--- a/box/runtime/src/loggedPeerLink.ts
+++ b/box/runtime/src/loggedPeerLink.ts
@@ -9,7 +9,7 @@
   nameAt: (address: string) => string | undefined
 }
 
-/** A link whose failed calls are told of in the log. Callers may get over them without a line of their own. */
+/** A peer link that logs failed calls, so that callers can recover from them without logging. */
 export class LoggedPeerLink extends PeerLink {
   readonly #opts: LoggedPeerLinkOptions
 
@@ -23,13 +23,13 @@
     try {
       return await link.call(address, message, opts)
     } catch (thrown) {
-      // A call that this box has ended itself has not failed.
-      if (!opts.signal?.aborted) failures.note({ event: LogEvent.PeerCallFailed, call: message.type, target: { peer: nameAt(address), address } }, thrown)
+      // A call that this box aborted is not a failure.
+      if (!opts.signal?.aborted) failures.recordCall({ event: LogEvent.PeerCallFailed, call: message.type, target: { peer: nameAt(address), address } }, thrown)
       throw thrown
     }
   }
 
-  /** Streams carry requests, whose own lines tell how they ended. */
+  /** Failures are not logged here: streams carry requests, and the owner or the relay logs how each request ended. */
   stream (address: string, message: PeerMessage, opts: PeerCallOptions): AsyncIterable<PeerMessage> {
     return this.#opts.link.stream(address, message, opts)
   }
--- a/box/runtime/src/peerDispatch.ts
+++ b/box/runtime/src/peerDispatch.ts
@@ -9,31 +9,31 @@
 import { type Owner } from '@reelspan/request.owner'
 import { type RecordStore } from '@reelspan/request.records'
 import { type Log, LogEvent } from '@reelspan/telemetry.log'
-import { type ShardKeepers } from './shardKeepers.js'
+import { type ShardManagers } from './shardManagers.js'
 import { type UpstreamReport } from '@reelspan/upstream.health'
 import { type UpstreamStates } from '@reelspan/upstream.signals'
-import { givePermits } from './createLimitParts.js'
+import { acquirePermits } from './createLimitParts.js'
 
 export interface PeerDispatchOptions {
   prober: Prober
   view: MembershipView
   stores: Record<Collection, ConfigStore<unknown>>
-  keepers: ShardKeepers
+  shardManagers: ShardManagers
   owner: Owner
   records: RecordStore
   runGossip: Gossip<RunEvent>
-  limitBook: LimitBook
+  accountBuckets: LimitBook
   upstreamStateGossip: Gossip<UpstreamStateUpdate>
-  permitBook: LimitBook
+  permitBuckets: LimitBook
   upstreamStates: UpstreamStates
   onUpstreamReports: (reports: readonly UpstreamReport[]) => void
   lookup: (availabilityZone?: string) => LookupAnswer
-  vouchHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
+  confirmRunningHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
   describeForStatus: () => unknown
   log: Log
 }
 
-/** What this box does with messages of other boxes. */
+/** Handles the messages of other boxes. */
 export class PeerDispatch implements PeerHandler {
   readonly #opts: PeerDispatchOptions
 
@@ -42,28 +42,28 @@
   }
 
   async onCall (message: PeerMessage): Promise<PeerMessage> {
-    const { prober, stores, keepers, owner, runGossip, limitBook, upstreamStateGossip, permitBook, onUpstreamReports, lookup, vouchHere, describeForStatus } = this.#opts
+    const { prober, stores, shardManagers, owner, runGossip, accountBuckets, upstreamStateGossip, permitBuckets, onUpstreamReports, lookup, confirmRunningHere, describeForStatus } = this.#opts
     switch (message.type) {
       case MessageType.ConfigPull:
         return { type: MessageType.ConfigContent, numbering: RevisionNumbering.ByVersionAndEra, ...stores[message.collection].changesSince(message.sinceRevision, message.digest) }
       case MessageType.Reserve:
         return this.#reserve(message)
       case MessageType.ReleaseReservation:
-        keepers.existing(message.shardId)?.release(message.label, message.report, message.outcomes)
+        shardManagers.existing(message.shardId)?.release(message.label, message.report, message.outcomes)
         return DONE
       case MessageType.PrefillDone:
-        keepers.existing(message.shardId)?.prefilled(message.label)
+        shardManagers.existing(message.shardId)?.prefilled(message.label)
         return DONE
       case MessageType.AdoptReservations:
-        keepers.scheduler(message.shardId)?.adopt(message.reservations)
+        shardManagers.scheduler(message.shardId)?.adopt(message.reservations)
         return DONE
       case MessageType.Vouch:
-        return this.#vouch(message, vouchHere)
+        return this.#confirmRunning(message, confirmRunningHere)
       case MessageType.Cancel:
         owner.cancel(message.key)
         return DONE
       case MessageType.RecordsHandoff:
-        return this.#takeRecords(message)
+        return this.#importRecords(message)
       case MessageType.Lookup:
         return { type: MessageType.LookupAnswer, ...lookup(message.availabilityZone) }
       case MessageType.RunsTell:
@@ -75,9 +75,9 @@
         onUpstreamReports(message.reports)
         return DONE
       case MessageType.AccountTake:
-        return { type: MessageType.AccountTaken, waitMs: limitBook.take(message.account, message.cost) }
+        return { type: MessageType.AccountTaken, waitMs: accountBuckets.take(message.account, message.cost) }
       case MessageType.AccountGiveBack:
-        limitBook.giveBack(message.account, message.cost)
+        accountBuckets.giveBack(message.account, message.cost)
         return DONE
       case MessageType.UpstreamStatesTell:
         upstreamStateGossip.take(message.updates)
@@ -86,46 +86,46 @@
         upstreamStateGossip.take(message.updates)
         return { type: MessageType.UpstreamStatesContent, updates: upstreamStateGossip.known() }
       case MessageType.UpstreamTake:
-        return givePermits(this.#opts, message)
+        return acquirePermits(this.#opts, message)
       case MessageType.UpstreamGiveBack:
-        permitBook.giveBack(message.upstream, message.cost)
+        permitBuckets.giveBack(message.upstream, message.cost)
         return DONE
       case MessageType.StatusPull:
         return { type: MessageType.StatusContent, status: describeForStatus() }
       default:
-        return await prober.answer(message) ?? unexpected(message)
+        return await prober.answer(message) ?? rejectUnexpected(message)
     }
   }
 
   async * onStream (message: PeerMessage, signal: AbortSignal): AsyncGenerator<PeerMessage> {
-    if (message.type !== MessageType.Submit) return unexpected(message)
+    if (message.type !== MessageType.Submit) return rejectUnexpected(message)
     const { owner } = this.#opts
     const record = owner.submit(message.request, { takeOver: message.takeOver === true && this.#mayTakeOver(message.request.key) })
     for await (const event of record.read(message.fromEvent, signal)) yield { type: MessageType.Answer, event }
   }
 
   async #reserve ({ request }: MessageOf<MessageType.Reserve>): Promise<PeerMessage> {
-    const scheduler = this.#opts.keepers.scheduler(request.shardId)
-    if (!scheduler) throw new ReelspanError(ErrorCode.NotReady, `this box knows no shard ${request.shardId}`)
+    const scheduler = this.#opts.shardManagers.scheduler(request.shardId)
+    if (!scheduler) throw new ReelspanError(ErrorCode.NotReady, `shard ${request.shardId} is unknown to this box`)
     return { type: MessageType.ReserveAnswer, answer: await scheduler.reserve(request) }
   }
 
-  #vouch ({ ownerIncarnation, requestIds }: MessageOf<MessageType.Vouch>, vouchHere: PeerDispatchOptions['vouchHere']): PeerMessage {
-    const vouched = vouchHere(ownerIncarnation, requestIds)
-    if (!vouched) throw new ReelspanError(ErrorCode.OwnerGone, 'another process runs here now')
-    return { type: MessageType.Vouched, ownerIncarnation, requestIds: vouched }
+  #confirmRunning ({ ownerIncarnation, requestIds }: MessageOf<MessageType.Vouch>, vouchHere: PeerDispatchOptions['confirmRunningHere']): PeerMessage {
+    const confirmed = vouchHere(ownerIncarnation, requestIds)
+    if (!confirmed) throw new ReelspanError(ErrorCode.OwnerGone, 'the box at this address runs under another incarnation')
+    return { type: MessageType.Vouched, ownerIncarnation, requestIds: confirmed }
   }
 
-  #takeRecords ({ records: portable, taken }: MessageOf<MessageType.RecordsHandoff>): PeerMessage {
+  #importRecords ({ records: portable, taken }: MessageOf<MessageType.RecordsHandoff>): PeerMessage {
     const { records, view, log } = this.#opts
-    if (view.self.leaving) throw new ReelspanError(ErrorCode.Draining, 'this box is about to stop itself')
+    if (view.self.leaving) throw new ReelspanError(ErrorCode.Draining, 'this box is stopping and accepts no records')
     records.import(portable)
     records.markTaken(taken)
     if (taken.length > 0) log.info(LogEvent.RecordsTaken, { incarnations: taken.map(({ incarnation }) => incarnation) })
     return DONE
   }
 
-  /** The sender has proof that the owner is gone. Word to the contrary here counts more. */
+  /** The sender has evidence that the owner is gone. If this box knows the owner as not gone, it refuses the takeover. */
   #mayTakeOver (key: string): boolean {
     const { owner } = parseRequestKey(key)
     const member = owner && this.#opts.view.get(owner.incarnation)
@@ -135,6 +135,6 @@
 
 const DONE: PeerMessage = { type: MessageType.Done }
 
-function unexpected (message: PeerMessage): never {
+function rejectUnexpected (message: PeerMessage): never {
   throw new ReelspanError(ErrorCode.PeerProtocol, `unexpected message ${message.type}`, { verdict: Verdict.NotRun })
 }
--- a/box/runtime/src/plannedStop.ts
+++ b/box/runtime/src/plannedStop.ts
@@ -19,44 +19,44 @@
   owner: Owner
   relay?: Relay
   records: RecordStore
-  /** Resolves once no caller is being answered. */
-  callersServed: () => Promise<void>
+  /** Resolves when no caller is waiting for an answer any more. */
+  waitForCallers: () => Promise<void>
   log: Log
 }
 
 const HANDOFF_TIMEOUT_MS = 2000
 const HANDOFF_CANDIDATES = 3
 const RECORDS_PER_HANDOFF = 200
-/** Every box has heard of a change after about this many probe periods. */
-const SPREAD_PERIODS = 2
-/** That a box stops is told at once and passed on within a tenth of a period; the rest is for messages that are lost. */
-const TOLD_PERIODS = 1
+/** Gossip reaches every box after about this many probe periods. */
+const GOSSIP_PERIODS = 2
+/** A stop is announced immediately and forwarded within a tenth of a probe period; the rest covers lost messages. */
+const ANNOUNCE_PERIODS = 1
 
-/** Stops a box so that no request is cut off. Resolves when the process may exit. */
+/** Stops a box without interrupting a request. Resolves when the process may exit. */
 export async function plannedStop (opts: PlannedStopOptions): Promise<void> {
-  const { clock, settings, view, prober, owner, relay, callersServed } = opts
-  const spreadMs = SPREAD_PERIODS * settings.membership.probePeriodMs
+  const { clock, settings, view, prober, owner, relay, waitForCallers } = opts
+  const gossipMs = GOSSIP_PERIODS * settings.membership.probePeriodMs
   view.announce({ leaving: true }, clock.nowMs())
   await prober.tellNow()
-  // Callers keep lookup answers for a while and still come here.
-  await clock.sleep(settings.requests.lookupKeepMs + TOLD_PERIODS * settings.membership.probePeriodMs)
+  // Callers cache lookup answers and still send requests here until these expire.
+  await clock.sleep(settings.requests.lookupKeepMs + ANNOUNCE_PERIODS * settings.membership.probePeriodMs)
   owner.closeForNew()
   relay?.closeForNew()
-  await waitAtMost(opts, settings.requests.longestRequestMs)
+  await waitForIdle(opts, settings.requests.longestRequestMs)
   const successor = await handOffRecords(opts)
   view.announce({ health: MemberHealth.Gone, successor }, clock.nowMs())
   await prober.tellNow()
-  await clock.sleep(spreadMs)
-  await callersServed()
+  await clock.sleep(gossipMs)
+  await waitForCallers()
 }
 
-async function waitAtMost ({ clock, owner, relay }: PlannedStopOptions, durationMs: number): Promise<void> {
+async function waitForIdle ({ clock, owner, relay }: PlannedStopOptions, durationMs: number): Promise<void> {
   const stop = new AbortController()
   await Promise.race([Promise.all([owner.waitIdle(stop.signal), relay?.waitIdle(stop.signal)]), clock.sleep(durationMs, { signal: stop.signal })])
   stop.abort()
 }
 
-/** Gives all records to one other box. Without a taker, old keys will be answered with «may have run». */
+/** Hands all records over to one other box. If none accepts them, retries of the old keys are answered with «may have run». */
 async function handOffRecords (opts: PlannedStopOptions): Promise<Member['successor']> {
   const { view, log } = opts
   const others = view.takingWork().filter(({ incarnation }) => incarnation !== view.self.incarnation)
@@ -73,16 +73,16 @@
 }
 
 async function sendRecords ({ clock, link, view, records }: PlannedStopOptions, address: string): Promise<void> {
-  const parts = inParts(records.export())
+  const batches = splitIntoBatches(records.export())
   const taken = [...records.taken(), { incarnation: view.self.incarnation, clockMs: clock.nowMs() }]
-  for (const [i, part] of parts.entries()) {
-    const isLast = i === parts.length - 1
-    await link.call(address, { type: MessageType.RecordsHandoff, records: part, taken: isLast ? taken : [] }, { timeoutMs: HANDOFF_TIMEOUT_MS })
+  for (const [i, batch] of batches.entries()) {
+    const isLast = i === batches.length - 1
+    await link.call(address, { type: MessageType.RecordsHandoff, records: batch, taken: isLast ? taken : [] }, { timeoutMs: HANDOFF_TIMEOUT_MS })
   }
 }
 
-/** At least one part, since the last one also says that all are there. */
-function inParts (records: PortableRecord[]): PortableRecord[][] {
+/** Always returns at least one batch, since the last batch also marks the handoff as complete. */
+function splitIntoBatches (records: PortableRecord[]): PortableRecord[][] {
   const count = Math.max(1, Math.ceil(records.length / RECORDS_PER_HANDOFF))
   return Array.from({ length: count }, (_, i) => records.slice(i * RECORDS_PER_HANDOFF, (i + 1) * RECORDS_PER_HANDOFF))
 }
--- a/box/runtime/src/reconciler.ts
+++ b/box/runtime/src/reconciler.ts
@@ -6,111 +6,110 @@
 import { LogEvent } from '@reelspan/telemetry.log'
 import { type UpstreamSignals } from '@reelspan/upstream.client'
 import { type BoxParts } from './boxParts.js'
-import { FleetChanges } from './fleetChanges.js'
+import { FleetChangeLogger } from './fleetChangeLogger.js'
 
 const RECONCILE_PERIOD_MS = 5000
 const REMEMBERED_DRAINING: UpstreamSignals = { succeeded: false, draining: { draining: true, text: 'remembered' } }
 
-/** Brings what a box does in line with declarations, fleet and members as they change. */
+/** Applies changes of the declarations, the fleet and the members to the parts of a box. */
 export class Reconciler {
   readonly #parts: BoxParts
   readonly #tasks: TaskGroup
-  readonly #fleetChanges: FleetChanges
+  readonly #fleetChangeLogger: FleetChangeLogger
   #ready = false
-  /** Era of the platform's store that the list in force is from. */
+  /** Era of the platform's store from which the list in force was read. */
   #listEra?: number
-  /** A change was noted, and the pass that acts on it is under way. */
-  #reconciling = false
+  /** Whether a reconcile pass is scheduled. */
+  #reconcilePending = false
 
   constructor (parts: BoxParts, tasks: TaskGroup) {
     this.#parts = parts
     this.#tasks = tasks
-    this.#fleetChanges = new FleetChanges({ fleet: parts.fleet, log: parts.log, platformSilentMs: () => parts.platformContact.silentMs })
+    this.#fleetChangeLogger = new FleetChangeLogger({ fleet: parts.fleet, log: parts.log, sincePlatformContactMs: () => parts.platformContact.sinceContactMs })
   }
 
-  /** Whether this box has a configuration to serve by. */
+  /** Whether this box has adopted a configuration. */
   get ready (): boolean {
     return this.#ready
   }
 
   start (): void {
     Object.values(Collection).forEach((collection) => this.#tasks.run(() => this.#onRevisions(collection)))
-    this.#parts.platformContact.onBack(() => this.#tasks.run(() => this.#reconcileAfterReentry()))
+    this.#parts.platformContact.onRegained(() => this.#tasks.run(() => this.#reconcileAfterReentry()))
     this.#reconcile()
-    // What was left because something ran there still is given up once it is idle.
+    // A shard that this box no longer schedules is kept while reservations remain, and removed by a later pass.
     this.#tasks.repeat(async () => this.#reconcile(), { periodMs: RECONCILE_PERIOD_MS })
   }
 
-  /** Acts on a change of the fleet that the platform's list does not have. */
+  /** Applies a change of the fleet that the platform's list does not contain. */
   onFleetChange (): void {
-    this.#noteFleet(this.#parts.fleetList.revision)
+    this.#onFleetRevision(this.#parts.fleetList.revision)
     this.reconcileSoon()
   }
 
   /**
-   * Acts on changed members once for all that change together: where 195 boxes start
-   * at once, each hears of all others within some hundred ms, often thirty in a
-   * message, and each pass looks at all members.
+   * Coalesces member changes that arrive together into one reconcile pass, since each pass visits all members.
+   * When 195 boxes start at once, each receives all others within a few hundred ms, often thirty in one message.
    */
   reconcileSoon (): void {
-    if (this.#reconciling) return
-    this.#reconciling = true
+    if (this.#reconcilePending) return
+    this.#reconcilePending = true
     const { clock, placer } = this.#parts
     this.#tasks.run(async () => {
       await clock.settle()
-      this.#reconciling = false
+      this.#reconcilePending = false
       if (this.#tasks.stopped) return
       this.#reconcile()
       if (placer instanceof SchedulerPlacer) await placer.adoptByNewSchedulers()
     })
   }
 
-  /** Upstreams whose entries lapsed while the platform was away must be back by then, or are gone. */
+  /** Drops upstreams whose entries expired during a platform outage and that have not registered again in time. */
   async #reconcileAfterReentry (): Promise<void> {
     const { clock, fleet, fleetList, log } = this.#parts
     await clock.sleep(REENTRY_MS, { signal: this.#tasks.signal })
     log.info(LogEvent.EntriesKept, { gone: fleet.missing })
-    this.#noteFleet(fleetList.revision)
+    this.#onFleetRevision(fleetList.revision)
     this.#reconcile()
   }
 
-  #noteList (listOrder: number): void {
+  #onListAdopted (listOrder: number): void {
     const { era } = storeRevisionOf(listOrder)
     const isRestored = this.#listEra !== undefined && era > this.#listEra
     this.#listEra = era
-    this.#noteFleet(listOrder)
+    this.#onFleetRevision(listOrder)
     if (isRestored) this.#onRestored()
   }
 
-  /** Tells the other boxes, and those that start now, what the platform's copy has forgotten. */
+  /** Gossips the draining upstreams that a restored platform store no longer contains, so that boxes that start now know them too. */
   #onRestored (): void {
     const { clock, fleet, upstreamStates } = this.#parts
     fleet.rememberedDraining.forEach((name) => upstreamStates.observe(name, REMEMBERED_DRAINING, clock.nowMs()))
     this.#tasks.run(() => this.#reconcileAfterReentry())
   }
 
-  #noteFleet (listOrder: number): void {
-    this.#fleetChanges.note(storeRevisionOf(listOrder))
+  #onFleetRevision (listOrder: number): void {
+    this.#fleetChangeLogger.logChanges(storeRevisionOf(listOrder))
     this.#parts.brokenRuns.noteFleet()
   }
 
   #reconcile (): void {
-    const { declarations, keepers, settings } = this.#parts
+    const { declarations, shardManagers, settings } = this.#parts
     this.#ready = declarations.revision > 0
-    if (settings.scheduling.strategy === 'scheduler') keepers.reconcile()
+    if (settings.scheduling.strategy === 'scheduler') shardManagers.reconcile()
   }
 
-  /** Acts on each new revision, and tells the peers of it at once. */
+  /** Applies each new revision and announces it to the peers immediately. */
   async #onRevisions (collection: Collection): Promise<void> {
-    const { log, prober, view, beliefAges } = this.#parts
+    const { log, prober, view, cachedStateAges } = this.#parts
     const store = collection === Collection.Declarations ? this.#parts.declarations : this.#parts.fleetList
     for (let revision = 0; !this.#tasks.stopped; revision = store.revision) {
       await store.waitAbove(revision, this.#tasks.signal)
       if (this.#tasks.stopped) return
-      beliefAges.noteAdopted(collection)
+      cachedStateAges.recordAdopted(collection)
       const adopted = collection === Collection.Fleet ? storeRevisionOf(store.revision) : { revision: store.revision }
       log.info(LogEvent.RevisionAdopted, { collection, ...adopted, box: view.self.name })
-      if (collection === Collection.Fleet) this.#noteList(store.revision)
+      if (collection === Collection.Fleet) this.#onListAdopted(store.revision)
       this.#reconcile()
       this.#tasks.run(() => prober.announceRevisionsSoon())
     }
--- a/box/runtime/src/noteRequestEnd.ts
+++ b/box/runtime/src/recordRequestEnd.ts
@@ -4,14 +4,14 @@
 import { type Log, LogEvent } from '@reelspan/telemetry.log'
 import { type Metrics } from '@reelspan/telemetry.metrics'
 
-export interface NoteRequestEndOptions {
+export interface RecordRequestEndOptions {
   log: Log
   metrics: Metrics
   revision: number
 }
 
-/** Logs and counts a request that ended. Its prompt, tokens and body stay out of both. */
-export function noteRequestEnd ({ log, metrics, revision }: NoteRequestEndOptions, record: RequestRecord, request: RoutedRequest, timings: RequestTimings): void {
+/** Logs a finished request and records its metrics. Neither contains its prompt, tokens or body. */
+export function recordRequestEnd ({ log, metrics, revision }: RecordRequestEndOptions, record: RequestRecord, request: RoutedRequest, timings: RequestTimings): void {
   const { final } = record
   const verdict = final?.verdict ?? 'none'
   log.info(LogEvent.RequestEnded, {
--- a/box/runtime/src/registerBoxMetrics.ts
+++ b/box/runtime/src/registerBoxMetrics.ts
@@ -1,9 +1,9 @@
 import { type LabelledValue } from '@reelspan/telemetry.metrics'
 import { type BoxParts } from './boxParts.js'
 
-/** Registers what a box tells of its own state in the metrics. */
+/** Registers the gauges for a box's own state. */
 export function registerBoxMetrics (parts: BoxParts): void {
-  const { metrics, owner, log, beliefAges, quarantine, runHistory, proof, upstreamStates, backoffs } = parts
+  const { metrics, owner, log, cachedStateAges, quarantine, runHistory, freshnessProof, upstreamStates, backoffs } = parts
   metrics.gauge('reelspan_requests_in_flight', () => owner.inFlight)
   metrics.gauge('reelspan_log_lines_dropped_total', () => log.droppedLines)
   metrics.gauge('reelspan_requests_quarantined', () => quarantine.countQuarantined())
@@ -11,12 +11,12 @@
   metrics.gauge('reelspan_upstreams_limited', () => upstreamStates.count)
   metrics.gauge('reelspan_upstreams_draining', () => upstreamStates.drainingCount)
   metrics.gauge('reelspan_upstreams_backing_off', () => backoffs.count)
-  if (proof.isNeeded) metrics.gauge('reelspan_accounts_proof_age_ms', () => proof.ageMs)
-  metrics.gauges('reelspan_belief_age_ms', () => beliefAges.values())
+  if (freshnessProof.isNeeded) metrics.gauge('reelspan_accounts_proof_age_ms', () => freshnessProof.ageMs)
+  metrics.gauges('reelspan_belief_age_ms', () => cachedStateAges.values())
   metrics.gauges('reelspan_retry_budget_left', () => retryBudgets(parts))
 }
 
-/** Relayed requests have a budget for each pool, owned ones a common one. */
+/** Relayed requests have one retry budget per pool; owned requests share a single one. */
 function retryBudgets ({ owner, relay }: BoxParts): LabelledValue[] {
   const relayed = relay?.describe().retryBudgets ?? []
   return [
--- a/box/runtime/src/requestRouter.ts
+++ b/box/runtime/src/requestRouter.ts
@@ -16,23 +16,23 @@
   records: RecordStore
 }
 
-/** An owner that a cut-off forwarder cannot reach is tried again after this. */
+/** Base delay before a forwarding box that lost its connection to the owner tries again; it grows with each attempt. */
 const REJOIN_BACKOFF_MS = 150
-const REJOIN_TRIES = 4
-/** The owner ends a request at its deadline; its word of that may take this long. */
-const FINAL_ANSWER_SLACK_MS = 500
+const MAX_REJOIN_ATTEMPTS = 4
+/** The owner ends a request at its deadline; the final event may take this long to arrive. */
+const FINAL_EVENT_SLACK_MS = 500
 const MAX_SUCCESSORS = 16
-/** An owner must have been known as gone for this long before another box runs its requests. Longer than the pause that it notices. */
-const TAKE_OVER_AFTER_MS = 1000
+/** An owner must have been known as gone for this long before another box runs its requests. Longer than the shortest pause that a process detects in itself. */
+const MIN_GONE_BEFORE_TAKEOVER_MS = 1000
 
-/** Where a request goes from here. */
+/** The box to which a request is routed. */
 interface Target {
-  /** Undefined when this box is the one. */
+  /** Undefined if it is this box. */
   address?: string
   takeOver?: boolean
 }
 
-/** Brings each request to the one box that may run it, and its answer back. */
+/** Forwards each request to the one box that may run it, and streams the answer back. */
 export class RequestRouter {
   readonly #opts: RequestRouterOptions
 
@@ -40,33 +40,33 @@
     this.#opts = opts
   }
 
-  /** A key for a request that came without one: this box owns it. */
+  /** Creates a key for a request without one. This box becomes the owner. */
   createKey (): string {
     const { clock, random, view } = this.#opts
     const { peerAddress, incarnation } = view.self
     return `${formatKeyPrefix({ peerAddress, incarnation, issuedAtMs: clock.nowMs() })}.${random.hex(16)}`
   }
 
-  /** Runs or joins a request. Always ends with a final event. */
+  /** Runs a request, or joins it if it already runs. Always ends with a final event. */
   async * submit (request: RoutedRequest, signal: AbortSignal): AsyncGenerator<AnswerEvent> {
     try {
       const { owner } = parseRequestKey(request.key)
-      if (!owner && request.notRepeatable) throw keyRequired()
-      const target = owner ? this.#targetOf(owner, request) : this.#homeOf(request.key)
+      if (!owner && request.notRepeatable) throw keyRequiredError()
+      const target = owner ? this.#targetOf(owner, request) : this.#defaultOwnerOf(request.key)
       if (target.address === undefined) yield * this.#runHere(request, target.takeOver ?? false, signal)
       else yield * this.#forward(request, target as Required<Target>, owner, signal)
     } catch (thrown) {
-      yield finalOf(toReelspanError(thrown))
+      yield finalEventOf(toReelspanError(thrown))
     }
   }
 
-  /** Cancels a request, wherever it runs. Best effort. */
+  /** Cancels a request at its owner. Best effort. */
   async cancel (key: string): Promise<void> {
     const { link, owner } = this.#opts
     const parsed = parseRequestKey(key)
-    const { address } = parsed.owner ? this.#addressOf(parsed.owner) : this.#homeOf(key)
+    const { address } = parsed.owner ? this.#addressOf(parsed.owner) : this.#defaultOwnerOf(key)
     if (address === undefined) return owner.cancel(key)
-    await link.call(address, { type: MessageType.Cancel, key }, { timeoutMs: FINAL_ANSWER_SLACK_MS, repeatable: true })
+    await link.call(address, { type: MessageType.Cancel, key }, { timeoutMs: FINAL_EVENT_SLACK_MS, repeatable: true })
   }
 
   #targetOf (owner: KeyOwner, request: RoutedRequest): Target {
@@ -74,14 +74,14 @@
     if (records.get(request.key)) return {}
     const member = view.get(owner.incarnation)
     const lost = member?.health === MemberHealth.Gone && member.successor === undefined
-    // Nobody else may run what must not run twice; what may be repeated is run by the box that all would choose,
-    // once its owner, if it only sleeps, must notice that it did when it wakes.
-    const goneMs = lost ? view.unchangedForMs(owner.incarnation, this.#opts.clock.nowMs()) : 0
-    if (lost && !request.notRepeatable && goneMs >= TAKE_OVER_AFTER_MS) return { ...this.#homeOf(request.key), takeOver: true }
+    // A request that must not run twice is never taken over. A repeatable one is taken over by the box that all boxes
+    // agree on, after a delay: an owner that was only paused is certain to detect a pause of that length when it resumes.
+    const goneForMs = lost ? view.unchangedForMs(owner.incarnation, this.#opts.clock.nowMs()) : 0
+    if (lost && !request.notRepeatable && goneForMs >= MIN_GONE_BEFORE_TAKEOVER_MS) return { ...this.#defaultOwnerOf(request.key), takeOver: true }
     return this.#addressOf(owner)
   }
 
-  /** The box that has an owner's records: the owner's process, or whoever took them over when it stopped. */
+  /** The box that has an owner's records: the owner's process, or the successor that received them when it stopped. */
   #addressOf ({ incarnation, peerAddress }: KeyOwner): Target {
     const { view, records } = this.#opts
     if (incarnation === view.self.incarnation || records.clockOf(incarnation) !== undefined) return {}
@@ -98,11 +98,11 @@
     return follow(view.get(incarnation)?.successor, MAX_SUCCESSORS)
   }
 
-  /** The box that owns a key which names none. */
-  #homeOf (key: string): Target {
+  /** The owner of a key that names no owner, chosen by rendezvous hashing. */
+  #defaultOwnerOf (key: string): Target {
     const { view } = this.#opts
-    const home = topByRendezvous(key, view.takingWork(), ({ incarnation }) => incarnation)
-    return !home || home.incarnation === view.self.incarnation ? {} : { address: home.peerAddress }
+    const defaultOwner = topByRendezvous(key, view.takingWork(), ({ incarnation }) => incarnation)
+    return !defaultOwner || defaultOwner.incarnation === view.self.incarnation ? {} : { address: defaultOwner.peerAddress }
   }
 
   async * #runHere (request: RoutedRequest, takeOver: boolean, signal: AbortSignal): AsyncGenerator<AnswerEvent> {
@@ -110,23 +110,23 @@
     yield * record.read(0, signal)
   }
 
-  /** Relays the answer from the box that runs the request; after a break it joins again where it left off. */
+  /** Streams the answer from the owner; after a lost connection it rejoins from the next event. */
   async * #forward (request: RoutedRequest, target: Required<Target>, owner: KeyOwner | undefined, signal: AbortSignal): AsyncGenerator<AnswerEvent> {
     const { clock } = this.#opts
     const startedAtMs = clock.nowMs()
     let relayed = 0
-    for (let tries = 1; ; tries++) {
+    for (let attempt = 1; ; attempt++) {
       try {
         for await (const event of this.#relay(request, target, relayed, owner, startedAtMs, signal)) {
           relayed++
           yield event
           if (event.kind === AnswerEventKind.Final) return
         }
-        throw new PeerLinkError('the owner ended the answer before its end', { mayHaveArrived: true })
+        throw new PeerLinkError('the owner closed the answer stream before the final event', { mayHaveArrived: true })
       } catch (thrown) {
         if (!(thrown instanceof PeerLinkError)) throw thrown
-        if (tries >= REJOIN_TRIES || signal.aborted || this.#isLost(owner)) throw this.#unreachable(owner)
-        await clock.sleep(REJOIN_BACKOFF_MS * tries, { signal })
+        if (attempt >= MAX_REJOIN_ATTEMPTS || signal.aborted || this.#isLost(owner)) throw this.#unreachableError(owner)
+        await clock.sleep(REJOIN_BACKOFF_MS * attempt, { signal })
       }
     }
   }
@@ -137,7 +137,7 @@
     const lost = this.#abortWhenLost(owner)
     const message = { type: MessageType.Submit, request: { ...request, deadlineMs: leftMs }, fromEvent, takeOver: target.takeOver } as const
     try {
-      const opts = { timeoutMs: leftMs + FINAL_ANSWER_SLACK_MS, signal: AbortSignal.any([signal, lost.signal]) }
+      const opts = { timeoutMs: leftMs + FINAL_EVENT_SLACK_MS, signal: AbortSignal.any([signal, lost.signal]) }
       for await (const part of link.stream(target.address, message, opts)) {
         if (part.type === MessageType.Answer) yield part.event
       }
@@ -151,7 +151,7 @@
     return member?.health === MemberHealth.Gone && member.successor === undefined
   }
 
-  /** Waiting for an owner that is known to be gone helps nobody. */
+  /** Aborts the wait for an owner as soon as it is known to be gone. */
   #abortWhenLost (owner: KeyOwner | undefined): { signal: AbortSignal, stop: () => void } {
     const lost = new AbortController()
     const stopWatching = this.#opts.view.onChange(() => {
@@ -160,9 +160,9 @@
     return { signal: lost.signal, stop: stopWatching }
   }
 
-  #unreachable (owner: KeyOwner | undefined): ReelspanError {
+  #unreachableError (owner: KeyOwner | undefined): ReelspanError {
     return this.#isLost(owner)
-      ? new ReelspanError(ErrorCode.OwnerGone, 'the process that the key names is gone, and its records with it', { verdict: Verdict.MayHaveRun })
+      ? new ReelspanError(ErrorCode.OwnerGone, 'the process that the key names is gone and its records are lost', { verdict: Verdict.MayHaveRun })
       : new ReelspanError(ErrorCode.OwnerUnreachable, 'the box that runs the request cannot be reached', {
         verdict: Verdict.MayHaveRun,
         hint: 'Send the same request with the same key again, through any box.',
@@ -170,15 +170,15 @@
   }
 }
 
-function keyRequired (): ReelspanError {
+function keyRequiredError (): ReelspanError {
   return new ReelspanError(ErrorCode.KeyRequired, 'a request that may not be repeated needs a key from a lookup', {
     hint: 'Ask GET /v1/lookup and send «Idempotency-Key: keyPrefix.your-own-part».',
     retryAfterMs: 0,
   })
 }
 
-/** The answer of a request that ended before it began. */
-function finalOf (error: ReelspanError): AnswerEvent {
+/** The final event of a request that failed before it was forwarded or run. */
+function finalEventOf (error: ReelspanError): AnswerEvent {
   return {
     kind: AnswerEventKind.Final,
     verdict: error.verdict,
--- a/box/runtime/src/resourceApi.ts
+++ b/box/runtime/src/resourceApi.ts
@@ -4,17 +4,17 @@
 import { type Member, MessageType, type PeerLink } from '@reelspan/core.messages'
 import { type MembershipView } from '@reelspan/membership.view'
 import { schedulerOf } from '@reelspan/scheduling.shards'
-import { type ShardKeepers } from './shardKeepers.js'
+import { type ShardManagers } from './shardManagers.js'
 
 export interface ResourceApiOptions {
   clock: Clock
   link: PeerLink
   view: MembershipView
   declarations: ConfigStore<Configuration>
-  keepers: ShardKeepers
+  shardManagers: ShardManagers
 }
 
-/** A resource as operators see it: its declared part, and the revisions that say how current this is. */
+/** A resource as shown to operators: its declared spec, and the revision that last changed it. */
 export interface ResourceView {
   kind: string
   name: string
@@ -22,21 +22,21 @@
   spec: unknown
 }
 
-/** The state of a resource over the fleet, gathered when it was asked for. */
+/** State of a resource across the fleet, collected on request. */
 export interface ResourceStatus {
   resource: ResourceView
-  /** Revision in force at the box that answers. */
+  /** Revision in force at the responding box. */
   revisionInForce: number
-  /** A newer revision that was refused, and why. */
+  /** A newer revision that failed validation, and its problems. */
   rejected?: { revision: number, problems: string[] }
-  /** What schedulers say of the shards that the resource concerns. */
+  /** Shards that the resource affects, as their schedulers describe them. */
   shards: { box: string, ageMs: number, shard: unknown }[]
   boxesNotAsked: string[]
 }
 
 const STATUS_TIMEOUT_MS = 1000
 
-/** Lets operators read what is declared and what has become of it. Nothing is written through it. */
+/** Read-only access for operators to the declared resources and their state. */
 export class ResourceApi {
   readonly #opts: ResourceApiOptions
 
@@ -54,7 +54,7 @@
     return this.list(kind).find((resource) => resource.name === name)
   }
 
-  /** Waits until the revision in force is above the given one, then answers with what changed since. */
+  /** Waits until the revision in force is above the given one, then returns the changes since. */
   async watch (sinceRevision: number, signal: AbortSignal): Promise<{ revision: number, changes: ContentChange[] }> {
     const { declarations } = this.#opts
     await declarations.waitAbove(sinceRevision, signal)
@@ -62,7 +62,7 @@
     return { revision, changes }
   }
 
-  /** Checks a whole set exactly as a box would before it adopts it. */
+  /** Validates a complete set of resources exactly as a box does before it adopts one. */
   check (resources: readonly DeclaredResource[]): ResourceProblem[] {
     return checkResources(resources, 0).problems
   }
@@ -71,43 +71,43 @@
     const { declarations } = this.#opts
     const resource = declarations.value.resources.find((one) => one.kind === kind && one.name === name)
     if (!resource) return undefined
-    const asked = await this.#askSchedulers(modelsOf(resource, declarations.value))
+    const statuses = await this.#querySchedulers(modelsOf(resource, declarations.value))
     return {
       resource: viewOf(resource),
       revisionInForce: declarations.revision,
       rejected: declarations.rejected,
-      shards: asked.flatMap(({ shards }) => shards),
-      boxesNotAsked: asked.flatMap(({ box, answered }) => answered ? [] : [box]),
+      shards: statuses.flatMap(({ shards }) => shards),
+      boxesNotAsked: statuses.flatMap(({ box, answered }) => answered ? [] : [box]),
     }
   }
 
-  async #askSchedulers (models: readonly string[]) {
-    const { keepers, view } = this.#opts
-    const wanted = models.flatMap((model) => keepers.shardsOfModel(model))
+  async #querySchedulers (models: readonly string[]) {
+    const { shardManagers, view } = this.#opts
+    const shards = models.flatMap((model) => shardManagers.shardsOfModel(model))
     const schedulers = new Map<string, Member>()
-    wanted.forEach((shard) => {
+    shards.forEach((shard) => {
       const scheduler = schedulerOf(shard, view.takingWork())
       if (scheduler) schedulers.set(scheduler.incarnation, scheduler)
     })
-    const ids = new Set(wanted.map(({ id }) => id))
-    return Promise.all([...schedulers.values()].map((scheduler) => this.#askScheduler(scheduler, ids)))
+    const ids = new Set(shards.map(({ id }) => id))
+    return Promise.all([...schedulers.values()].map((scheduler) => this.#queryScheduler(scheduler, ids)))
   }
 
-  async #askScheduler (scheduler: Member, shardIds: Set<string>) {
-    const { clock, keepers, link, view } = this.#opts
+  async #queryScheduler (scheduler: Member, shardIds: Set<string>) {
+    const { clock, shardManagers, link, view } = this.#opts
     const askedAtMs = clock.nowMs()
-    const described = scheduler.incarnation === view.self.incarnation
-      ? keepers.describe()
-      : await this.#pull(link, scheduler.peerAddress)
+    const status = scheduler.incarnation === view.self.incarnation
+      ? shardManagers.describe()
+      : await this.#pullStatus(link, scheduler.peerAddress)
     const ageMs = clock.nowMs() - askedAtMs
-    const shards = (described ?? [])
+    const shards = (status ?? [])
       .filter(({ shard }) => shardIds.has(shard))
       .map((shard) => ({ box: scheduler.name, ageMs: Math.round(ageMs), shard }))
-    return { box: scheduler.name, answered: described !== undefined, shards }
+    return { box: scheduler.name, answered: status !== undefined, shards }
   }
 
-  async #pull (link: PeerLink, address: string): Promise<{ shard: string }[] | undefined> {
-    // The link tells of a failure; the view says that this scheduler has not answered.
+  async #pullStatus (link: PeerLink, address: string): Promise<{ shard: string }[] | undefined> {
+    // The link logs a failure; the status lists this scheduler in `boxesNotAsked`.
     const answer = await link.call(address, { type: MessageType.StatusPull }, { timeoutMs: STATUS_TIMEOUT_MS, repeatable: true }).catch(() => undefined)
     return answer?.type === MessageType.StatusContent ? answer.status as { shard: string }[] : undefined
   }
--- a/box/runtime/src/shardKeeper.ts
+++ b/box/runtime/src/shardManager.ts
@@ -6,7 +6,7 @@
 import { type HoldSweeper } from '@reelspan/upstream.holds'
 import { type BalancedEngine, OrderController, type OrderControllerOptions, type OrderRight, RoleBalancer, type RoleBalancerOptions } from '@reelspan/upstream.orders'
 
-export interface ShardKeeperOptions {
+export interface ShardManagerOptions {
   clock: Clock
   engines: EngineClient
   scheduler: ShardScheduler
@@ -15,30 +15,30 @@
   configuration: () => Configuration
   reportPeriodMs: number
   onOrder: OrderControllerOptions['onOrder']
-  /** Engines are given the roles that the load needs. Without it they keep those that the list gives them. */
+  /** Enables role balancing, which assigns engine roles by load. Without it, engines keep the roles of the fleet list. */
   roles?: Pick<RoleBalancerOptions, 'holder' | 'listOrder' | 'onPlan'>
-  /** Told of a task that a fault of the program ended. */
+  /** Called when a background task throws unexpectedly. */
   onTaskError?: TaskErrorListener
 }
 
-/** Engines answer a report within some milliseconds. */
+/** Timeout of a reachability check. Engines answer a report within a few milliseconds. */
 const CHECK_TIMEOUT_MS = 300
-/** Cache events are asked for at every so many passes. */
-const CACHE_EVENTS_EVERY = 2
+/** Cache events are read on every nth polling pass. */
+const CACHE_EVENTS_EVERY_PASSES = 2
 
-/** What the box that accounts for a shard does: asks its engines, frees what nobody answers for, gives orders. */
-export class ShardKeeper {
+/** Manages a shard at its scheduler's box: polls the engines, releases holds that no owner confirms, and sends orders. */
+export class ShardManager {
   readonly scheduler: ShardScheduler
   readonly right: OrderRight
-  readonly #opts: ShardKeeperOptions
+  readonly #opts: ShardManagerOptions
   readonly #tasks: TaskGroup
   readonly #orders: OrderController
   readonly #balancer?: RoleBalancer
-  readonly #checked = new Set<string>()
+  readonly #checksInFlight = new Set<string>()
   readonly #cacheSequences = new Map<string, number>()
-  #pass = 0
+  #passCount = 0
 
-  constructor (opts: ShardKeeperOptions) {
+  constructor (opts: ShardManagerOptions) {
     this.#opts = opts
     this.scheduler = opts.scheduler
     this.right = opts.right
@@ -49,10 +49,10 @@
   }
 
   start (): void {
-    this.#tasks.repeat(() => this.#lookAround(), { periodMs: this.#opts.reportPeriodMs })
+    this.#tasks.repeat(() => this.#poll(), { periodMs: this.#opts.reportPeriodMs })
   }
 
-  /** State for the dump. */
+  /** State for the debug endpoint. */
   describe () {
     return { ...this.scheduler.describe(), mayOrder: this.right.holds(), roles: this.#balancer?.plan }
   }
@@ -62,34 +62,34 @@
     await this.#tasks.stop()
   }
 
-  /** Looks whether an engine that was not reached answers this box. One that does not gets no work until it reports again. */
+  /** Checks whether an engine that an owner could not reach answers this box. If not, it gets no work until it reports again. */
   async checkReachable (engineName: string): Promise<void> {
     const engine = this.scheduler.ledger.allEngines().find(({ name }) => name === engineName)
-    if (!engine || this.#checked.has(engineName)) return
-    this.#checked.add(engineName)
-    await this.#askReport(engine, CHECK_TIMEOUT_MS)
-    this.#checked.delete(engineName)
+    if (!engine || this.#checksInFlight.has(engineName)) return
+    this.#checksInFlight.add(engineName)
+    await this.#fetchReport(engine, CHECK_TIMEOUT_MS)
+    this.#checksInFlight.delete(engineName)
   }
 
-  async #lookAround (): Promise<void> {
-    this.#pass++
-    await Promise.all(this.scheduler.ledger.allEngines().map((engine) => this.#lookAt(engine)))
-    if (this.right.holds()) await this.#giveOrders()
+  async #poll (): Promise<void> {
+    this.#passCount++
+    await Promise.all(this.scheduler.ledger.allEngines().map((engine) => this.#pollEngine(engine)))
+    if (this.right.holds()) await this.#sendOrders()
     else this.#balancer?.standDown()
   }
 
-  async #lookAt (engine: EngineAccount<unknown>): Promise<void> {
-    const report = await this.#askReport(engine, this.#opts.reportPeriodMs)
+  async #pollEngine (engine: EngineAccount<unknown>): Promise<void> {
+    const report = await this.#fetchReport(engine, this.#opts.reportPeriodMs)
     if (!report) return
     this.#tasks.run(() => this.#opts.sweeper.sweep(engine, report.holds))
-    if (report.role === EngineRole.Prefill && this.#pass % CACHE_EVENTS_EVERY === 0) await this.#readCacheEvents(engine)
+    if (report.role === EngineRole.Prefill && this.#passCount % CACHE_EVENTS_EVERY_PASSES === 0) await this.#readCacheEvents(engine)
   }
 
-  /** Asks an engine for its report, and lets the scheduler know of it or of its silence. */
-  async #askReport (engine: EngineAccount<unknown>, timeoutMs: number): Promise<EngineReport | undefined> {
+  /** Fetches an engine's report and passes it, or the failure to get it, to the scheduler. */
+  async #fetchReport (engine: EngineAccount<unknown>, timeoutMs: number): Promise<EngineReport | undefined> {
     const { engines } = this.#opts
     const { name, address } = engine
-    // The client tells of a failure.
+    // The client logs a failure.
     const report = await engines.report(address, { timeoutMs, signal: this.#tasks.signal }).catch(() => undefined)
     if (report) this.scheduler.noteReport(name, report)
     else this.scheduler.noteSilent(name)
@@ -99,14 +99,14 @@
   async #readCacheEvents ({ name, address }: EngineAccount<unknown>): Promise<void> {
     const { engines, reportPeriodMs } = this.#opts
     const since = this.#cacheSequences.get(name) ?? 0
-    // The client tells of a failure; the next page asked for has what this one would have had.
+    // The client logs a failure. The next page starts at the same sequence number, so no event is lost.
     const page = await engines.cacheEvents(address, since, { timeoutMs: reportPeriodMs, signal: this.#tasks.signal }).catch(() => undefined)
     if (!page) return
     this.#cacheSequences.set(name, page.nextSequence)
     this.scheduler.noteRemovals(name, { removedDigests: page.removedDigests, afterGap: page.firstSequence > since || page.nextSequence < since })
   }
 
-  async #giveOrders (): Promise<void> {
+  async #sendOrders (): Promise<void> {
     const { ledger } = this.scheduler
     const { model, prefillPool, decodePool } = ledger.shard
     const inRole = (engine: EngineAccount<unknown>) => this.#isInRole(engine)
@@ -119,7 +119,10 @@
     ledger.allEngines().forEach((engine) => { engine.retiring = retiring.has(engine.name) || this.#balancer?.isMoving(engine.name) === true })
   }
 
-  /** Where roles follow the load, the list tells of them late and does not wish for them. */
+  /**
+   * Whether an engine has the role that the fleet list gives it. With role balancing, the list lags
+   * behind the actual roles and does not state the desired ones.
+   */
   #isInRole ({ name, role, report }: EngineAccount<unknown>): boolean {
     return !this.#balancer || (!this.#balancer.isMoving(name) && (report === undefined || report.role === role))
   }
--- a/box/runtime/src/shardKeepers.ts
+++ b/box/runtime/src/shardManagers.ts
@@ -12,45 +12,45 @@
 import { OrderRight, type RoleLoad, type RolePlan } from '@reelspan/upstream.orders'
 import { type BoxEnvironment } from './boxEnvironment.js'
 import { type FailureLog } from './failureLog.js'
-import { ShardKeeper, type ShardKeeperOptions } from './shardKeeper.js'
+import { ShardManager, type ShardManagerOptions } from './shardManager.js'
 
-export interface ShardKeepersOptions extends BoxEnvironment {
+export interface ShardManagersOptions extends BoxEnvironment {
   failures: FailureLog
-  pauses: PauseWatch
+  pauseDetector: PauseWatch
   declarations: ConfigStore<Configuration>
-  /** The list that this box acts by. Its revision counts this box's own changes. */
+  /** The fleet list that this box acts on. Its revision also counts changes that this box makes to the list. */
   fleet: { readonly value: FleetList, readonly revision: number }
-  /** The order of the platform's list, by which boxes tell which is the newer. */
+  /** Order of the platform's fleet list, by which boxes compare the age of their lists. */
   listOrder: () => number
-  /** Requests a second that an engine takes; nothing where it names no limit. */
+  /** Rate limit that an engine advertises, in requests per second; undefined if it advertises none. */
   limitPerSecond: (engine: string) => number | undefined
   view: MembershipView
-  /** Answers for requests of this box's own incarnations. */
-  vouchHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
+  /** Confirms which requests of this box still run; undefined if the incarnation is not this box's current one. */
+  confirmRunningHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
   isGone: (incarnation: string) => boolean
-  /** When the platform or most watched peers last answered. */
+  /** When the platform or a majority of the watched peers last answered. */
   lastContactMs: () => number
 }
 
-/** A report this many periods old says nothing any more. */
-const REPORT_LIFE_PERIODS = 4
+/** A report older than this many periods is ignored. */
+const REPORT_TTL_PERIODS = 4
 
-/** The shards that this box accounts for, as declarations, fleet and membership change. */
-export class ShardKeepers {
-  readonly #opts: ShardKeepersOptions
-  readonly #keepers = new Map<string, ShardKeeper>()
+/** Manages the shards that this box schedules as declarations, fleet and membership change. */
+export class ShardManagers {
+  readonly #opts: ShardManagersOptions
+  readonly #managers = new Map<string, ShardManager>()
   #shards: Shard[] = []
-  #shardsOf = ''
+  #shardsRevision = ''
 
-  constructor (opts: ShardKeepersOptions) {
+  constructor (opts: ShardManagersOptions) {
     this.#opts = opts
   }
 
   shards (): readonly Shard[] {
     const { declarations, fleet } = this.#opts
-    const of = `${declarations.revision}/${fleet.revision}`
-    if (of !== this.#shardsOf) this.#shards = deriveShards(declarations.value, fleet.value)
-    this.#shardsOf = of
+    const revision = `${declarations.revision}/${fleet.revision}`
+    if (revision !== this.#shardsRevision) this.#shards = deriveShards(declarations.value, fleet.value)
+    this.#shardsRevision = revision
     return this.#shards
   }
 
@@ -59,93 +59,93 @@
   }
 
   /**
-   * The scheduler of a shard. One is set up on demand: an owner may know sooner
-   * than this box that it is the scheduler now, and two of them do no harm.
+   * Returns the scheduler of a shard and creates it on demand: an owner may learn earlier than
+   * this box that it has become the scheduler. Two schedulers of a shard at the same time are harmless.
    */
   scheduler (shardId: string): ShardScheduler | undefined {
     const shard = this.shards().find(({ id }) => id === shardId)
-    return shard && this.#keeper(shard).scheduler
+    return shard && this.#managerOf(shard).scheduler
   }
 
-  /** The scheduler of a shard, if it was set up. */
+  /** The scheduler of a shard, if this box has created it. */
   existing (shardId: string): ShardScheduler | undefined {
-    return this.#keepers.get(shardId)?.scheduler
+    return this.#managers.get(shardId)?.scheduler
   }
 
-  /** Takes up and lays down shards. Called after every change of declarations, fleet or members. */
+  /** Starts and stops managing shards. Called after every change of declarations, fleet or members. */
   reconcile (): void {
     const { view } = this.#opts
     const shards = this.shards()
     const members = view.takingWork()
     shards.forEach((shard) => {
-      const mine = schedulerOf(shard, members)?.incarnation === view.self.incarnation
-      if (mine) this.#keeper(shard).right.take()
-      else this.#keepers.get(shard.id)?.right.giveUp()
-      this.#keepers.get(shard.id)?.scheduler.update(shard)
+      const isScheduler = schedulerOf(shard, members)?.incarnation === view.self.incarnation
+      if (isScheduler) this.#managerOf(shard).right.take()
+      else this.#managers.get(shard.id)?.right.giveUp()
+      this.#managers.get(shard.id)?.scheduler.update(shard)
     })
     const ids = new Set(shards.map(({ id }) => id))
-    this.#keepers.forEach((keeper, id) => {
-      if (!ids.has(id) || (!keeper.right.taken && keeper.scheduler.idle)) this.#drop(id, keeper)
+    this.#managers.forEach((manager, id) => {
+      if (!ids.has(id) || (!manager.right.taken && manager.scheduler.idle)) this.#removeManager(id, manager)
     })
   }
 
   releaseOwner (incarnation: string): void {
-    this.#keepers.forEach(({ scheduler }) => scheduler.releaseOwner(incarnation))
+    this.#managers.forEach(({ scheduler }) => scheduler.releaseOwner(incarnation))
   }
 
-  /** How long ago the engine reported that has been silent longest, of those that are scheduled here. */
+  /** Age of the oldest last report among the engines that this box schedules. */
   oldestReportAgeMs (): number | undefined {
-    const times = [...this.#keepers.values()].map(({ scheduler }) => scheduler.ledger.oldestReportAtMs()).filter((atMs) => atMs !== undefined)
+    const times = [...this.#managers.values()].map(({ scheduler }) => scheduler.ledger.oldestReportAtMs()).filter((atMs) => atMs !== undefined)
     return times.length > 0 ? this.#opts.clock.nowMs() - Math.min(...times) : undefined
   }
 
   describe () {
-    return [...this.#keepers.values()].map((keeper) => keeper.describe())
+    return [...this.#managers.values()].map((manager) => manager.describe())
   }
 
   async stop (): Promise<void> {
-    await Promise.all([...this.#keepers.values()].map((keeper) => keeper.stop()))
+    await Promise.all([...this.#managers.values()].map((manager) => manager.stop()))
   }
 
-  #keeper (shard: Shard): ShardKeeper {
-    const known = this.#keepers.get(shard.id)
-    if (known) return known
-    const keeper = this.#createKeeper(shard)
-    this.#keepers.set(shard.id, keeper)
-    keeper.start()
+  #managerOf (shard: Shard): ShardManager {
+    const existing = this.#managers.get(shard.id)
+    if (existing) return existing
+    const manager = this.#createManager(shard)
+    this.#managers.set(shard.id, manager)
+    manager.start()
     this.#opts.log.info(LogEvent.SchedulerTaken, { shard: shard.id })
-    return keeper
+    return manager
   }
 
-  #drop (id: string, keeper: ShardKeeper): void {
-    this.#keepers.delete(id)
-    void keeper.stop()
+  #removeManager (id: string, manager: ShardManager): void {
+    this.#managers.delete(id)
+    void manager.stop()
     this.#opts.log.info(LogEvent.SchedulerLeft, { shard: id })
   }
 
-  #createKeeper (shard: Shard): ShardKeeper {
-    const { clock, engines, declarations, settings, lastContactMs, pauses, failures, log, metrics } = this.#opts
+  #createManager (shard: Shard): ShardManager {
+    const { clock, engines, declarations, settings, lastContactMs, pauseDetector, failures, log, metrics } = this.#opts
     const { reportPeriodMs, orderRightMs } = settings.scheduling
-    const scheduler = this.#createScheduler(shard, (engine) => { void keeper.checkReachable(engine) })
-    const keeper: ShardKeeper = new ShardKeeper({
+    const scheduler = this.#createScheduler(shard, (engine) => { void manager.checkReachable(engine) })
+    const manager: ShardManager = new ShardManager({
       clock,
       engines,
       scheduler,
       sweeper: this.#createSweeper(scheduler),
-      right: new OrderRight({ clock, lifeMs: orderRightMs, lastContactMs, pauses }),
+      right: new OrderRight({ clock, lifeMs: orderRightMs, lastContactMs, pauses: pauseDetector }),
       configuration: () => declarations.value,
       reportPeriodMs,
-      onTaskError: (thrown) => failures.noteTask('shardKeeper', thrown),
+      onTaskError: (thrown) => failures.recordTask('shardKeeper', thrown),
       roles: settings.scheduling.rolesFollowLoad ? this.#roleOptions(shard) : undefined,
       onOrder: ({ engine, order }, outcome) => {
         log.info(LogEvent.OrderSent, { engine, order: order.kind, fence: order.fence, outcome })
         metrics.count('reelspan_orders_total', { outcome })
       },
     })
-    return keeper
+    return manager
   }
 
-  #roleOptions (shard: Shard): ShardKeeperOptions['roles'] {
+  #roleOptions (shard: Shard): ShardManagerOptions['roles'] {
     const { settings, listOrder, log } = this.#opts
     return {
       holder: settings.box.name,
@@ -162,25 +162,25 @@
       shard,
       route: () => declarations.value.routeOfModel(shard.model)?.spec,
       index: createPrefixIndex(prefixIndex),
-      reportLifeMs: reportPeriodMs * REPORT_LIFE_PERIODS,
+      reportLifeMs: reportPeriodMs * REPORT_TTL_PERIODS,
       limitPerSecond,
       onUnreachable,
       onSuspected: (upstream, forMs, failureShare) => log.warn(LogEvent.UpstreamSuspected, { upstream, shard: shard.id, forMs, failureShare: Number(failureShare.toFixed(2)) }),
       onTrusted: (upstream) => log.info(LogEvent.UpstreamTrusted, { upstream, shard: shard.id }),
       onAdmission: (attempt, inputs, decision) => log.info(LogEvent.AdmissionDecided, { attempt, shard: shard.id, ...admissionFields(inputs, decision) }),
-      onTaskError: (thrown) => failures.noteTask('shardScheduler', thrown),
+      onTaskError: (thrown) => failures.recordTask('shardScheduler', thrown),
     })
   }
 
   #createSweeper (scheduler: ShardScheduler): HoldSweeper {
-    const { clock, link, engines, settings, isGone, vouchHere, log, metrics } = this.#opts
+    const { clock, link, engines, settings, isGone, confirmRunningHere, log, metrics } = this.#opts
     const { reportPeriodMs } = settings.scheduling
     return new HoldSweeper({
       clock,
       link,
       engines,
       isGone,
-      vouchHere,
+      vouchHere: confirmRunningHere,
       isAccounted: (label: HoldLabel) => scheduler.ledger.isCurrent(label, clock.nowMs()),
       vouchTimeoutMs: reportPeriodMs,
       releaseTimeoutMs: reportPeriodMs,
@@ -193,7 +193,7 @@
   }
 }
 
-/** What a decision to keep or refuse a waiting request was made from. */
+/** Log fields of an admission decision and its inputs. */
 function admissionFields (inputs: AdmissionInputs, { outcome, estimateMs, errorMs }: AdmissionDecision): LogFields {
   const { aheadInTime, aheadLate, aheadDue, msPerPlace, msPerArrival, inTimeLeftMs, usefulLeftMs, returned, promised, kept } = inputs
   return {
@@ -213,7 +213,7 @@
   }
 }
 
-/** Which roles the engines of a shard should have, and what that was planned from. */
+/** Log fields of a role plan and the load that it is based on. */
 function rolePlanFields ({ outcome, target, from, count, servesPerSecond, targetServesPerSecond }: RolePlan, load?: RoleLoad): LogFields {
   const rounded = (value: number | undefined) => value && Number(value.toFixed(1))
   return {
--- a/box/runtime/src/upstreamsByAddress.ts
+++ b/box/runtime/src/upstreamsByAddress.ts
@@ -1,11 +1,11 @@
 import { type FleetList, type ListedUpstream } from '@reelspan/config.fleet'
 
 export interface UpstreamsByAddressOptions {
-  /** The list that this box acts by. */
+  /** The fleet list that this box acts on. */
   fleet: { readonly value: FleetList, readonly revision: number }
 }
 
-/** Finds upstreams by where they are. */
+/** Index of the upstreams by address. */
 export class UpstreamsByAddress {
   readonly #opts: UpstreamsByAddressOptions
   #byAddress: ReadonlyMap<string, ListedUpstream> = new Map()
@@ -15,7 +15,6 @@
     this.#opts = opts
   }
 
-  /** The upstream that is listed at an address. */
   at (address: string): ListedUpstream | undefined {
     const { fleet } = this.#opts
     const { revision } = fleet
--- a/box/runtime/src/watcherRole.ts
+++ b/box/runtime/src/watcherRole.ts
@@ -9,36 +9,36 @@
   clock: Clock
   settings: Settings
   view: MembershipView
-  /** When most of the watched members last answered, on this box's clock. */
+  /** When a majority of the watched members last answered, on this box's clock. */
   lastMajorityContactMs: () => number
 }
 
-/** This many probe periods without an answer from most watched members, and a box is on its own. */
-const ALONE_AFTER_PERIODS = 2
+/** A box without an answer from a majority of its watched members for this many probe periods is isolated. */
+const ISOLATED_AFTER_PERIODS = 2
 
-/** A few boxes of each availability zone watch the platform for the rest, and those that have lost sight of the others. */
+/** Decides whether this box watches the platform. A few boxes of each availability zone do so for the others; an isolated box always does. */
 export class WatcherRole {
   readonly #opts: WatcherRoleOptions
-  /** Members that the zone's boxes were last ranked among, and what came of it. Asked far more often than they change. */
-  #rankedAmong?: readonly Member[]
+  /** Members of the last ranking. The role is cached, since it is read far more often than the members change. */
+  #rankedMembers?: readonly Member[]
   #role = ProofRole.Other
 
   constructor (opts: WatcherRoleOptions) {
     this.#opts = opts
   }
 
-  /** Whether this box watches the platform now. */
-  holds (): boolean {
+  /** Whether this box currently watches the platform. */
+  isWatcher (): boolean {
     const { clock, settings, lastMajorityContactMs } = this.#opts
-    if (clock.nowMs() - lastMajorityContactMs() > ALONE_AFTER_PERIODS * settings.membership.probePeriodMs) return true
+    if (clock.nowMs() - lastMajorityContactMs() > ISOLATED_AFTER_PERIODS * settings.membership.probePeriodMs) return true
     return this.proofRole() !== ProofRole.Other
   }
 
-  /** How near this box stands to the platform, by its rank in its zone. */
+  /** Role of this box in the renewal of freshness proofs, by its rank in its zone. */
   proofRole (): ProofRole {
     const members = this.#opts.view.takingWork()
-    if (members !== this.#rankedAmong) this.#role = this.#rank(members)
-    this.#rankedAmong = members
+    if (members !== this.#rankedMembers) this.#role = this.#rank(members)
+    this.#rankedMembers = members
     return this.#role
   }
 
--- a/box/runtime/test/__utils__/crashingRequests.ts
+++ b/box/runtime/test/__utils__/crashingRequests.ts
@@ -11,13 +11,13 @@
   relay: { retriesPerRequest: 0.14, retryBurst: 40 },
 }
 const ZONES = ['hall-a', 'hall-b', 'hall-c']
-export const PREFILL_ENGINES = named('prefill', 4)
-export const DECODE_ENGINES = named('decode', 14)
-export const SERVICES = named('desk', 5)
+export const PREFILL_ENGINES = numberedNames('prefill', 4)
+export const DECODE_ENGINES = numberedNames('decode', 14)
+export const SERVICES = numberedNames('desk', 5)
 /** Boxes have heard of what happened this long ago, as the users count it. */
-export const CONTACT_MS = 3000
+export const PROPAGATION_MS = 3000
 /** Attempts under which upstreams may end after that. */
-export const MOST_AFTERWARDS = 3
+export const MAX_LATE_ATTEMPTS = 3
 
 const ROUTES = [
   { kind: ResourceKind.Route, name: 'draft', spec: { host: HOST, pathPrefix: '/draft/', targets: [{ model: 'draft' }], streaming: true, notRepeatable: true, maxAttempts: 1, deadlineMs: 14_000, ttftTargetMs: 900, tbtTargetMs: 300 } },
@@ -26,33 +26,33 @@
   { kind: ResourceKind.Route, name: 'status', spec: { host: HOST, pathPrefix: '/status/', targets: [{ pool: 'script-desk' }], maxAttempts: 2, deadlineMs: 2500, ttftTargetMs: 900 } },
 ]
 
-function named (kind: string, count: number): string[] {
+function numberedNames (kind: string, count: number): string[] {
   return Array.from({ length: count }, (_, i) => `${kind}-${i + 1}`)
 }
 
-function places (boxCount: number): { boxes: BoxPlace[], upstreams: UpstreamPlace[] } {
+function deploymentOf (boxCount: number): { boxes: BoxPlace[], upstreams: UpstreamPlace[] } {
   const zone = (i: number) => ZONES[i % ZONES.length]
-  const some = (names: readonly string[], kind: UpstreamKind, pool: string) => names.map((name, i): UpstreamPlace => ({ name, kind, pool, availabilityZone: zone(i) }))
+  const upstreamsOf = (names: readonly string[], kind: UpstreamKind, pool: string) => names.map((name, i): UpstreamPlace => ({ name, kind, pool, availabilityZone: zone(i) }))
   return {
     boxes: Array.from({ length: boxCount }, (_, i) => ({ name: `box-${i + 1}`, availabilityZone: zone(i) })),
     upstreams: [
-      ...some(PREFILL_ENGINES, UpstreamKind.Engine, 'draft-prefill'),
-      ...some(DECODE_ENGINES, UpstreamKind.Engine, 'draft-decode'),
-      ...some(SERVICES, UpstreamKind.Service, 'script-desk'),
+      ...upstreamsOf(PREFILL_ENGINES, UpstreamKind.Engine, 'draft-prefill'),
+      ...upstreamsOf(DECODE_ENGINES, UpstreamKind.Engine, 'draft-decode'),
+      ...upstreamsOf(SERVICES, UpstreamKind.Service, 'script-desk'),
     ],
   }
 }
 
 /** A deployment with a stream that may go on elsewhere, one that may not, and a repeatable call; targets that contain `ends` end the upstreams that run them. */
 export async function startFleet ({ seed = 1, boxCount = 8 } = {}): Promise<FakeFleet> {
-  const fleet = new FakeFleet({ seed, deployment: places(boxCount), declarations: [...tuulDeclarations(), ...ROUTES], settings: SETTINGS })
+  const fleet = new FakeFleet({ seed, deployment: deploymentOf(boxCount), declarations: [...tuulDeclarations(), ...ROUTES], settings: SETTINGS })
   fleet.relayed.endsUpstream = ({ target }) => target.includes('ends')
   await fleet.start()
   await fleet.clock.advance(2000)
   return fleet
 }
 
-export interface RepeatOptions {
+export interface RepeatRequestOptions {
   target: string
   times: number
   everyMs: number
@@ -62,7 +62,7 @@
 }
 
 /** A caller sends the same request again and again, each time under a new id at a box of its choice. */
-export async function repeat (fleet: FakeFleet, { target, times, everyMs, callerAddress = '10.9.0.1', boxes }: RepeatOptions): Promise<KeepingCaller[]> {
+export async function repeatRequest (fleet: FakeFleet, { target, times, everyMs, callerAddress = '10.9.0.1', boxes }: RepeatRequestOptions): Promise<KeepingCaller[]> {
   const callers: KeepingCaller[] = []
   for (let i = 0; i < times; i++) {
     const names = boxes ?? fleet.liveBoxes().map(({ name }) => name)
@@ -74,9 +74,9 @@
 }
 
 /** Attempts at a target that reached upstreams though boxes could have known that it had ended three. */
-export function attemptsTooMany ({ relayed }: FakeFleet, target: string): string[] {
+export function lateAttempts ({ relayed }: FakeFleet, target: string): string[] {
   const third = relayed.endedUnder.filter((ended) => ended.target === target)[2]
   if (!third) return []
-  const late = relayed.arrivals.filter((arrival) => arrival.target === target && arrival.sentAtMs > third.atMs + CONTACT_MS)
+  const late = relayed.arrivals.filter((arrival) => arrival.target === target && arrival.sentAtMs > third.atMs + PROPAGATION_MS)
   return [...new Set(late.map(({ id }) => id))]
 }
--- a/box/runtime/test/__utils__/limitedUpstreams.ts
+++ b/box/runtime/test/__utils__/limitedUpstreams.ts
@@ -1,6 +1,6 @@
 import { type FakeFleet, type KeepingCaller } from '@reelspan/utils.fake-fleet'
 import { fullestWindow, type LimitRule, type RelayedArrival } from '@reelspan/utils.fakes'
-import { CONTACT_MS, HOST } from './crashingRequests.js'
+import { PROPAGATION_MS, HOST } from './crashingRequests.js'
 
 const MS_PER_SECOND = 1000
 
@@ -10,7 +10,7 @@
 }
 
 /** Upstreams name these limits from now on, and the others none. */
-export function nameLimits ({ relayed }: FakeFleet, limits: Readonly<Record<string, number>>): void {
+export function advertiseLimits ({ relayed }: FakeFleet, limits: Readonly<Record<string, number>>): void {
   relayed.signalsOf = (upstream) => {
     const perSecond = limits[upstream]
     return perSecond === undefined ? {} : { rateLimit: { perSecond, text: String(perSecond) } }
@@ -55,9 +55,9 @@
 }
 
 /** A limit that an upstream named once and for all. */
-export interface NamedLimit {
+export interface AdvertisedLimit {
   perSecond: number
-  namedAtMs: number
+  advertisedAtMs: number
   /** Addresses of boxes that the users do not count, since they were cut off, frozen or restarted. */
   excused?: readonly string[]
 }
@@ -66,8 +66,8 @@
  * The most that an upstream got in any 4 s, as a part of what it may get there, from when boxes can have
  * known its limit. Above 1 the rule is broken.
  */
-export function fullestAt (fleet: FakeFleet, upstream: string, { perSecond, namedAtMs, excused = [] }: NamedLimit): number {
-  const counted = arrivalsAt(fleet, upstream, namedAtMs + CONTACT_MS).filter(({ from }) => !excused.includes(from))
+export function peakUsageAt (fleet: FakeFleet, upstream: string, { perSecond, advertisedAtMs, excused = [] }: AdvertisedLimit): number {
+  const counted = arrivalsAt(fleet, upstream, advertisedAtMs + PROPAGATION_MS).filter(({ from }) => !excused.includes(from))
   const runs = counted.map(({ atMs }) => ({ atMs, cost: 1 }))
   return fullestWindow(runs, ruleOf(perSecond))
 }
--- a/box/runtime/test/__utils__/signallingUpstreams.ts
+++ b/box/runtime/test/__utils__/signallingUpstreams.ts
@@ -4,9 +4,9 @@
 /** From so long after a box passed on a response that advertises draining, nothing reaches the upstream from that box. */
 export const DRAIN_MS = 2000
 /** Requests that cross a refusal on the way are not counted for this long. */
-export const CROSSING_MS = 500
+export const IN_FLIGHT_MS = 500
 /** A request that cannot be served is refused within this time: some calls between boxes. */
-export const AT_ONCE_MS = 100
+export const REFUSAL_BOUND_MS = 100
 /** What an upstream may get of a box in the rest of the time for which it asked for nothing. */
 export const MAX_IN_BACKOFF = 2
 
@@ -14,7 +14,7 @@
 export class Advertisements {
   readonly #atMs = new Map<string, number[]>()
 
-  note (upstream: string, box: string, nowMs: number): void {
+  record (upstream: string, box: string, nowMs: number): void {
     const key = `${upstream} ${box}`
     this.#atMs.set(key, [...this.#atMs.get(key) ?? [], nowMs])
   }
@@ -33,7 +33,7 @@
   const advertised = new Advertisements()
   relayed.signalsOf = (upstream, box) => {
     if (!upstreams.includes(upstream)) return {}
-    advertised.note(upstream, box, clock.nowMs())
+    advertised.record(upstream, box, clock.nowMs())
     return { draining: { draining: true, text: '1' } }
   }
   return advertised
@@ -59,7 +59,7 @@
   relayed.refusalStatusOf = (upstream, box) => refuses(upstream, box) ? 503 : undefined
   relayed.signalsOf = (upstream, box) => {
     if (!refuses(upstream, box)) return {}
-    advertised.note(upstream, box, clock.nowMs())
+    advertised.record(upstream, box, clock.nowMs())
     return { backoff: { durationMs, text: String(durationMs / 1000) } }
   }
   return advertised
@@ -69,6 +69,6 @@
 export function mostInBackoff ({ relayed }: FakeFleet, advertised: Advertisements, { upstreams, durationMs }: { upstreams: readonly string[], durationMs: number }): number {
   const arrivals = relayed.arrivals.filter(({ upstream }) => upstreams.includes(upstream))
   const counts = arrivals.flatMap((first) => advertised.all(first).map((atMs) => arrivals.filter(({ upstream, from, atMs: arrivedAtMs }) =>
-    upstream === first.upstream && from === first.from && arrivedAtMs > atMs + CROSSING_MS && arrivedAtMs < atMs + durationMs).length))
+    upstream === first.upstream && from === first.from && arrivedAtMs > atMs + IN_FLIGHT_MS && arrivedAtMs < atMs + durationMs).length))
   return Math.max(0, ...counts)
 }
--- a/box/runtime/test/accounts.ts
+++ b/box/runtime/test/accounts.ts
@@ -32,35 +32,35 @@
   return fleet.relay(box, { id: `r-${nextId++}`, host: HOST, target: '/status/1', prompt: undefined, keyDigest: keyDigest(key) })
 }
 
-async function code (fleet: FakeFleet, box: string, key: string): Promise<ErrorCode | undefined> {
+async function refusalCode (fleet: FakeFleet, box: string, key: string): Promise<ErrorCode | undefined> {
   return (await fleet.clock.run(ask(fleet, box, key))).refused?.code
 }
 
-function takeAway (fleet: FakeFleet): void {
+function revokeKey (fleet: FakeFleet): void {
   fleet.platform.publish(Collection.Declarations, [accountWith(['k2'])])
 }
 
 test('a key that was taken away stops to work at every box within a second, and the others go on', async (t) => {
   const fleet = await startFleet()
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(1000)
   for (const { name } of fleet.boxes) {
-    t.is(await code(fleet, name, 'k1'), ErrorCode.AccountKey)
-    t.is(await code(fleet, name, 'k2'), undefined)
+    t.is(await refusalCode(fleet, name, 'k1'), ErrorCode.AccountKey)
+    t.is(await refusalCode(fleet, name, 'k2'), undefined)
   }
   await fleet.stop()
 })
 
 test('boxes that the platform turns away keep their proof by their peers, and learn which keys go', async (t) => {
   const fleet = await startFleet()
-  const blind = fleet.boxes.slice(0, 3)
-  blind.forEach(({ address }) => fleet.platform.silentTo.add(address))
+  const cutOff = fleet.boxes.slice(0, 3)
+  cutOff.forEach(({ address }) => fleet.platform.silentTo.add(address))
   await fleet.clock.advance(2 * KEY_PROOF_MS)
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(1500)
-  for (const { name } of blind) {
-    t.is(await code(fleet, name, 'k1'), ErrorCode.AccountKey)
-    t.is(await code(fleet, name, 'k2'), undefined)
+  for (const { name } of cutOff) {
+    t.is(await refusalCode(fleet, name, 'k1'), ErrorCode.AccountKey)
+    t.is(await refusalCode(fleet, name, 'k2'), undefined)
   }
   await fleet.stop()
 })
@@ -70,12 +70,12 @@
   const { name, address } = fleet.boxes[0]
   fleet.cutOff(name)
   fleet.platform.silentTo.add(address)
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(KEY_PROOF_MS)
   const late = await fleet.clock.run(ask(fleet, name, 'k1'))
   t.like(late.refused, { code: ErrorCode.AccountsUnproved, verdict: Verdict.NotRun })
   t.true((late.refused?.retryAfterMs ?? 0) > 0)
-  t.is(await code(fleet, name, 'k2'), ErrorCode.AccountsUnproved)
+  t.is(await refusalCode(fleet, name, 'k2'), ErrorCode.AccountsUnproved)
   t.false(fleet.box(name).box.admission.isProved)
   await fleet.stop()
 })
@@ -83,12 +83,12 @@
 test('boxes that see each other alone have no proof after the bound', async (t) => {
   const fleet = await startFleet()
   fleet.boxes.forEach(({ address }) => fleet.platform.silentTo.add(address))
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(KEY_PROOF_MS)
-  for (const { name } of fleet.boxes) t.is(await code(fleet, name, 'k1'), ErrorCode.AccountsUnproved)
+  for (const { name } of fleet.boxes) t.is(await refusalCode(fleet, name, 'k1'), ErrorCode.AccountsUnproved)
   fleet.platform.silentTo.clear()
   await fleet.clock.advance(2500)
-  for (const { name } of fleet.boxes) t.is(await code(fleet, name, 'k2'), undefined)
+  for (const { name } of fleet.boxes) t.is(await refusalCode(fleet, name, 'k2'), undefined)
   await fleet.stop()
 })
 
@@ -96,10 +96,10 @@
   const fleet = await startFleet()
   const { name, clock } = fleet.boxes[0]
   clock.pause()
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(KEY_PROOF_MS + 1000)
   clock.resume()
-  t.not(await code(fleet, name, 'k1'), undefined)
+  t.not(await refusalCode(fleet, name, 'k1'), undefined)
   await fleet.stop()
 })
 
@@ -107,11 +107,11 @@
   const fleet = await startFleet()
   const { name, box, clock } = fleet.boxes[0]
   const suspended = clock.suspendFor(KEY_PROOF_MS + 1000)
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.run(suspended)
   // As its clock does once it sees the time of day.
   void box.wasSuspended(KEY_PROOF_MS + 1000)
-  t.not(await code(fleet, name, 'k1'), undefined)
+  t.not(await refusalCode(fleet, name, 'k1'), undefined)
   await fleet.stop()
 })
 
@@ -122,7 +122,7 @@
   const { name } = fleet.boxes[0]
   fleet.kill(name)
   await fleet.clock.run(fleet.startBox(name))
-  t.is(await code(fleet, name, 'k1'), ErrorCode.AccountsUnproved)
+  t.is(await refusalCode(fleet, name, 'k1'), ErrorCode.AccountsUnproved)
   await fleet.stop()
 })
 
--- a/box/runtime/test/configuration.ts
+++ b/box/runtime/test/configuration.ts
@@ -30,9 +30,9 @@
   await fleet.clock.advance(SPREAD_MS)
   t.deepEqual(targets(fleet), fleet.boxes.map(() => 390))
   t.true(fleet.boxes.some(({ box }) => box.describe().declarations.rejected?.problems.some((problem) => problem.includes('did you mean «draft»'))))
-  const mended = fleet.platform.publish(Collection.Declarations, [{ kind: ResourceKind.Route, name: 'broken', spec: null }])
+  const corrected = fleet.platform.publish(Collection.Declarations, [{ kind: ResourceKind.Route, name: 'broken', spec: null }])
   await fleet.clock.advance(16_000)
-  t.deepEqual(fleet.boxes.map(({ box }) => box.configuration.revision), fleet.boxes.map(() => mended))
+  t.deepEqual(fleet.boxes.map(({ box }) => box.configuration.revision), fleet.boxes.map(() => corrected))
   await fleet.stop()
 })
 
--- a/box/runtime/test/crashingRequest.ts
+++ b/box/runtime/test/crashingRequest.ts
@@ -9,22 +9,22 @@
 import { QUARANTINE_MS } from '@reelspan/request.quarantine'
 import { FakeFleet, type KeepingCaller } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
-import { attemptsTooMany, CONTACT_MS, HOST, MOST_AFTERWARDS, repeat, SERVICES, startFleet } from './__utils__/crashingRequests.js'
+import { lateAttempts, PROPAGATION_MS, HOST, MAX_LATE_ATTEMPTS, repeatRequest, SERVICES, startFleet } from './__utils__/crashingRequests.js'
 
 const SEEDS = [1, 2, 3]
 const CRASHING = { times: 20, everyMs: 900 }
 
 /** How many upstreams have ended under a target. */
-function endedUnder ({ relayed }: FakeFleet, target: string): number {
+function countEnded ({ relayed }: FakeFleet, target: string): number {
   return relayed.endedUnder.filter((ended) => ended.target === target).length
 }
 
 test('a stream that has ended three engines is not sent to engines any more, at whichever box it comes again', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet({ seed })
-    await repeat(fleet, { ...CRASHING, target: '/draft/ends' })
-    t.true(endedUnder(fleet, '/draft/ends') >= 3, `seed ${seed}: it ended ${endedUnder(fleet, '/draft/ends')}`)
-    t.true(attemptsTooMany(fleet, '/draft/ends').length <= MOST_AFTERWARDS, `seed ${seed}: ${attemptsTooMany(fleet, '/draft/ends').join(', ')}`)
+    await repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
+    t.true(countEnded(fleet, '/draft/ends') >= 3, `seed ${seed}: it ended ${countEnded(fleet, '/draft/ends')}`)
+    t.true(lateAttempts(fleet, '/draft/ends').length <= MAX_LATE_ATTEMPTS, `seed ${seed}: ${lateAttempts(fleet, '/draft/ends').join(', ')}`)
     await fleet.stop()
   }
 })
@@ -32,16 +32,16 @@
 test('a call that has ended three upstreams is not sent to upstreams any more', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet({ seed })
-    await repeat(fleet, { ...CRASHING, target: '/status/ends' })
-    t.true(endedUnder(fleet, '/status/ends') >= 3, `seed ${seed}: it ended ${endedUnder(fleet, '/status/ends')}`)
-    t.true(attemptsTooMany(fleet, '/status/ends').length <= MOST_AFTERWARDS, `seed ${seed}: ${attemptsTooMany(fleet, '/status/ends').join(', ')}`)
+    await repeatRequest(fleet, { ...CRASHING, target: '/status/ends' })
+    t.true(countEnded(fleet, '/status/ends') >= 3, `seed ${seed}: it ended ${countEnded(fleet, '/status/ends')}`)
+    t.true(lateAttempts(fleet, '/status/ends').length <= MAX_LATE_ATTEMPTS, `seed ${seed}: ${lateAttempts(fleet, '/status/ends').join(', ')}`)
     await fleet.stop()
   }
 })
 
 test('requests that are sent while another one ends engines are served at last', async (t) => {
   const fleet = await startFleet()
-  const crashing = repeat(fleet, { ...CRASHING, target: '/draft/ends' })
+  const crashing = repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
   for (let i = 0; i < 60; i++) {
     void fleet.relay(`box-${1 + i % 8}`, { id: `other-${i}`, host: HOST, target: `/draft/other-${i}` })
     await fleet.clock.advance(300)
@@ -53,20 +53,20 @@
 })
 
 /** Attempts of a target that were refused since it ends upstreams. */
-function quarantined (callers: readonly KeepingCaller[]): KeepingCaller[] {
+function quarantinedCallers (callers: readonly KeepingCaller[]): KeepingCaller[] {
   return callers.filter(({ refused }) => refused?.code === ErrorCode.RequestQuarantined)
 }
 
 /** Boxes that believe of some request that it ends upstreams. */
-function believers ({ boxes }: FakeFleet): string[] {
+function boxesWithQuarantine ({ boxes }: FakeFleet): string[] {
   return boxes.filter(({ alive, box }) => alive && box.describe().quarantine.requests > 0).map(({ name }) => name)
 }
 
 test('a request that ends upstreams is refused at once, as one that has not run, with the time for which it is not run', async (t) => {
   const fleet = await startFleet()
-  const callers = await repeat(fleet, { ...CRASHING, target: '/draft/ends' })
-  const refused = quarantined(callers)
-  t.true(refused.length >= CRASHING.times - 3 - MOST_AFTERWARDS)
+  const callers = await repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
+  const refused = quarantinedCallers(callers)
+  t.true(refused.length >= CRASHING.times - 3 - MAX_LATE_ATTEMPTS)
   t.deepEqual([...new Set(refused.map((caller) => caller.refused?.verdict))], [Verdict.NotRun])
   refused.forEach(({ refused: final }) => t.true((final?.retryAfterMs ?? 0) > 0 && (final?.retryAfterMs ?? 0) <= QUARANTINE_MS))
   const sent = new Set(fleet.relayed.arrivals.filter(({ target }) => target === '/draft/ends').map(({ id }) => id))
@@ -76,9 +76,9 @@
 
 test('a stream that goes on elsewhere does not end one engine after the other', async (t) => {
   const fleet = await startFleet()
-  await repeat(fleet, { ...CRASHING, target: '/reply/ends' })
-  t.true(endedUnder(fleet, '/reply/ends') >= 3)
-  t.true(attemptsTooMany(fleet, '/reply/ends').length <= MOST_AFTERWARDS)
+  await repeatRequest(fleet, { ...CRASHING, target: '/reply/ends' })
+  t.true(countEnded(fleet, '/reply/ends') >= 3)
+  t.true(lateAttempts(fleet, '/reply/ends').length <= MAX_LATE_ATTEMPTS)
   await fleet.stop()
 })
 
@@ -96,7 +96,7 @@
     void fleet.send(box, fleet.completion(box, 'draft that ends engines', { notRepeatable: true })).catch(() => {})
     await fleet.clock.advance(4500)
   }
-  t.true(ended.length >= 3 && ended.length <= 3 + MOST_AFTERWARDS, `${ended.length}`)
+  t.true(ended.length >= 3 && ended.length <= 3 + MAX_LATE_ATTEMPTS, `${ended.length}`)
   const other = await fleet.clock.run(fleet.send('box-1', fleet.completion('box-1', 'another draft')))
   t.is(other.verdict, Verdict.Finished)
   await fleet.stop()
@@ -104,12 +104,12 @@
 
 test('of 195 boxes each knows soon what a request has ended at some of them', async (t) => {
   const fleet = await startFleet({ boxCount: 195 })
-  await repeat(fleet, { target: '/draft/ends', times: 3, everyMs: 900 })
+  await repeatRequest(fleet, { target: '/draft/ends', times: 3, everyMs: 900 })
   await fleet.clock.advance(1000)
-  t.is(endedUnder(fleet, '/draft/ends'), 3)
-  t.is(believers(fleet).length, 195)
-  await repeat(fleet, { target: '/draft/ends', times: 5, everyMs: 200 })
-  t.is(endedUnder(fleet, '/draft/ends'), 3)
+  t.is(countEnded(fleet, '/draft/ends'), 3)
+  t.is(boxesWithQuarantine(fleet).length, 195)
+  await repeatRequest(fleet, { target: '/draft/ends', times: 5, everyMs: 200 })
+  t.is(countEnded(fleet, '/draft/ends'), 3)
   await fleet.stop()
 })
 
@@ -119,49 +119,49 @@
     const cutOff = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a').map(({ name }) => name)
     const others = fleet.boxes.map(({ name }) => name).filter((name) => !cutOff.includes(name))
     fleet.cutOffZone('hall-a')
-    await repeat(fleet, { target: '/draft/ends', times: 6, everyMs: 900, boxes: others })
-    t.true(believers(fleet).every((name) => others.includes(name)))
+    await repeatRequest(fleet, { target: '/draft/ends', times: 6, everyMs: 900, boxes: others })
+    t.true(boxesWithQuarantine(fleet).every((name) => others.includes(name)))
     fleet.network.healAll()
-    await fleet.clock.advance(CONTACT_MS)
-    t.deepEqual(believers(fleet), fleet.boxes.map(({ name }) => name), `seed ${seed}, after a cut`)
+    await fleet.clock.advance(PROPAGATION_MS)
+    t.deepEqual(boxesWithQuarantine(fleet), fleet.boxes.map(({ name }) => name), `seed ${seed}, after a cut`)
     fleet.kill('box-2')
     await fleet.clock.advance(500)
     await fleet.clock.run(fleet.startBox('box-2'))
-    await fleet.clock.advance(CONTACT_MS)
-    t.true(believers(fleet).includes('box-2'), `seed ${seed}, after a restart`)
+    await fleet.clock.advance(PROPAGATION_MS)
+    t.true(boxesWithQuarantine(fleet).includes('box-2'), `seed ${seed}, after a restart`)
     await fleet.stop()
   }
 })
 
 test('news that is lost on the way comes with a heartbeat', async (t) => {
   const fleet = await startFleet()
-  const [deaf, ...rest] = fleet.boxes
-  const unheard = rest.filter(({ address }) => address !== deaf.address)
-  unheard.forEach(({ address }) => fleet.network.cut(address, deaf.address))
-  await repeat(fleet, { target: '/draft/ends', times: 3, everyMs: 400, boxes: unheard.map(({ name }) => name) })
+  const [unreached, ...rest] = fleet.boxes
+  const others = rest.filter(({ address }) => address !== unreached.address)
+  others.forEach(({ address }) => fleet.network.cut(address, unreached.address))
+  await repeatRequest(fleet, { target: '/draft/ends', times: 3, everyMs: 400, boxes: others.map(({ name }) => name) })
   fleet.network.healAll()
-  await fleet.clock.advance(CONTACT_MS)
-  t.true(believers(fleet).includes(deaf.name))
+  await fleet.clock.advance(PROPAGATION_MS)
+  t.true(boxesWithQuarantine(fleet).includes(unreached.name))
   await fleet.stop()
 })
 
 test('the same path and body of another caller is served, while it ends upstreams for one', async (t) => {
   const fleet = await startFleet()
   fleet.relayed.endsUpstream = ({ target, callerAddress }) => target.includes('ends') && callerAddress === '10.9.0.1'
-  const innocent = repeat(fleet, { target: '/status/ends', times: 40, everyMs: 450, callerAddress: '10.9.0.2' })
+  const otherCaller = repeatRequest(fleet, { target: '/status/ends', times: 40, everyMs: 450, callerAddress: '10.9.0.2' })
   await fleet.clock.advance(100)
-  const crashing = await repeat(fleet, { ...CRASHING, target: '/status/ends', callerAddress: '10.9.0.1' })
-  t.true(quarantined(crashing).length >= CRASHING.times - 3 - MOST_AFTERWARDS)
-  t.deepEqual(quarantined(await innocent), [])
+  const crashing = await repeatRequest(fleet, { ...CRASHING, target: '/status/ends', callerAddress: '10.9.0.1' })
+  t.true(quarantinedCallers(crashing).length >= CRASHING.times - 3 - MAX_LATE_ATTEMPTS)
+  t.deepEqual(quarantinedCallers(await otherCaller), [])
   await fleet.stop()
 })
 
 test('a request that runs beside one that ends engines, again and again, is not taken for the cause', async (t) => {
   const fleet = await startFleet()
-  const crashing = repeat(fleet, { ...CRASHING, target: '/draft/ends' })
-  const beside = await repeat(fleet, { target: '/draft/beside', times: 60, everyMs: 300, callerAddress: '10.9.0.2' })
+  const crashing = repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
+  const beside = await repeatRequest(fleet, { target: '/draft/beside', times: 60, everyMs: 300, callerAddress: '10.9.0.2' })
   await crashing
-  t.deepEqual(quarantined(beside), [])
+  t.deepEqual(quarantinedCallers(beside), [])
   const after = await fleet.clock.run(fleet.relay('box-3', { id: 'after', host: HOST, target: '/draft/beside', callerAddress: '10.9.0.2' }))
   t.true(after.whole)
   await fleet.stop()
@@ -181,10 +181,10 @@
 
 test('a quarantine ends, and begins again at the next end', async (t) => {
   const fleet = await startFleet()
-  await repeat(fleet, { ...CRASHING, target: '/draft/ends' })
-  const before = endedUnder(fleet, '/draft/ends')
+  await repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
+  const before = countEnded(fleet, '/draft/ends')
   await fleet.clock.advance(QUARANTINE_MS)
-  await repeat(fleet, { target: '/draft/ends', times: 6, everyMs: 900 })
-  t.is(endedUnder(fleet, '/draft/ends'), before + 1)
+  await repeatRequest(fleet, { target: '/draft/ends', times: 6, everyMs: 900 })
+  t.is(countEnded(fleet, '/draft/ends'), before + 1)
   await fleet.stop()
 })
--- a/box/runtime/test/drainingUpstream.ts
+++ b/box/runtime/test/drainingUpstream.ts
@@ -3,9 +3,9 @@
 import { Collection } from '@reelspan/core.messages'
 import { type FakeFleet } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
-import { CONTACT_MS, DECODE_ENGINES, PREFILL_ENGINES, SERVICES, startFleet } from './__utils__/crashingRequests.js'
+import { PROPAGATION_MS, DECODE_ENGINES, PREFILL_ENGINES, SERVICES, startFleet } from './__utils__/crashingRequests.js'
 import { arrivalsAt, load } from './__utils__/limitedUpstreams.js'
-import { AT_ONCE_MS, arrivalsAfterDrain, drain } from './__utils__/signallingUpstreams.js'
+import { REFUSAL_BOUND_MS, arrivalsAfterDrain, drain } from './__utils__/signallingUpstreams.js'
 
 const DRAINING = ['desk-1', 'prefill-1', 'decode-1', 'decode-2']
 
@@ -35,10 +35,10 @@
     const fleet = await startFleet({ boxCount })
     const advertised = drain(fleet, ['desk-1'])
     while (advertised.count === 0) await load(fleet, { target: '/status/', perSecond: 40, seconds: 0.5, name: `first-${fleet.clock.nowMs()}` })
-    await fleet.clock.advance(CONTACT_MS)
-    const toldAtMs = fleet.clock.nowMs()
+    await fleet.clock.advance(PROPAGATION_MS)
+    const propagatedAtMs = fleet.clock.nowMs()
     const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 8 })
-    t.deepEqual(arrivalsAt(fleet, 'desk-1', toldAtMs), [])
+    t.deepEqual(arrivalsAt(fleet, 'desk-1', propagatedAtMs), [])
     t.true(outcomes.every(({ caller }) => caller.whole))
     await fleet.stop()
   })
@@ -52,10 +52,10 @@
   fleet.network.healAll()
   fleet.kill('box-3')
   await fleet.clock.run(fleet.startBox('box-3'))
-  await fleet.clock.advance(CONTACT_MS)
-  const toldAtMs = fleet.clock.nowMs()
+  await fleet.clock.advance(PROPAGATION_MS)
+  const propagatedAtMs = fleet.clock.nowMs()
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 5, boxes: ['box-2', 'box-3'] })
-  t.deepEqual(arrivalsAt(fleet, 'desk-1', toldAtMs), [])
+  t.deepEqual(arrivalsAt(fleet, 'desk-1', propagatedAtMs), [])
   await fleet.stop()
 })
 
@@ -79,7 +79,7 @@
     outcomes.forEach(({ caller: { refused }, heldMs }) => {
       t.is(refused?.verdict, Verdict.NotRun)
       t.true((refused?.retryAfterMs ?? 0) > 0)
-      t.true(heldMs <= AT_ONCE_MS, `${heldMs}`)
+      t.true(heldMs <= REFUSAL_BOUND_MS, `${heldMs}`)
     })
     await fleet.stop()
   })
@@ -93,7 +93,7 @@
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 13, name: 'listed' })
   t.deepEqual(arrivalsAfterDrain(fleet, advertised), [])
   listAgain(fleet, 'desk-1@2')
-  await fleet.clock.advance(CONTACT_MS)
+  await fleet.clock.advance(PROPAGATION_MS)
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 3, name: 'again' })
   t.true(fleet.relayed.arrivals.some(({ upstream }) => upstream === 'desk-1@2'))
   await fleet.stop()
@@ -106,10 +106,10 @@
   box.observeUpstreamAt(fleet.address('decode-1'), signals)
   box.observeUpstreamAt(fleet.address('decode-2'), signals, 1)
   box.observeUpstreamAt('10.99.0.1:80', signals)
-  await fleet.clock.advance(CONTACT_MS)
-  const toldAtMs = fleet.clock.nowMs()
+  await fleet.clock.advance(PROPAGATION_MS)
+  const propagatedAtMs = fleet.clock.nowMs()
   await load(fleet, { target: '/draft/', perSecond: 25, seconds: 5 })
-  t.deepEqual(arrivalsAt(fleet, 'decode-1', toldAtMs), [])
-  t.true(arrivalsAt(fleet, 'decode-2', toldAtMs).length > 0)
+  t.deepEqual(arrivalsAt(fleet, 'decode-1', propagatedAtMs), [])
+  t.true(arrivalsAt(fleet, 'decode-2', propagatedAtMs).length > 0)
   await fleet.stop()
 })
--- a/box/runtime/test/failedCalls.ts
+++ b/box/runtime/test/failedCalls.ts
@@ -3,7 +3,7 @@
 import { FakeFleet, type FakeBox } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
 
-function linesOf ({ log }: FakeBox, event: LogEvent): LogFields[] {
+function logFieldsOf ({ log }: FakeBox, event: LogEvent): LogFields[] {
   return log.entries.filter((entry) => entry.event === event).map(({ fields }) => fields ?? {})
 }
 
@@ -11,10 +11,10 @@
   const fleet = await new FakeFleet().start()
   const scheduler = fleet.schedulerBox()
   const engine = [...fleet.engines.values()][0].name
-  t.deepEqual(linesOf(scheduler, LogEvent.EngineCallFailed), [])
+  t.deepEqual(logFieldsOf(scheduler, LogEvent.EngineCallFailed), [])
   fleet.killEngine(engine)
   await fleet.clock.advance(150_000)
-  const lines = linesOf(scheduler, LogEvent.EngineCallFailed).filter(({ call }) => call === 'report')
+  const lines = logFieldsOf(scheduler, LogEvent.EngineCallFailed).filter(({ call }) => call === 'report')
   t.deepEqual(new Set(lines.map(({ upstream }) => upstream)), new Set([engine]))
   t.true(lines.every(({ reason }) => typeof reason === 'string' && reason.length > 0))
   t.is(lines.length, 3, 'one at once, and one a minute')
@@ -28,7 +28,7 @@
   // The others have the new revision from the platform, or have heard of it; none can be asked for it now.
   fleet.boxes.forEach(({ address }, i) => fleet.boxes.slice(i + 1).forEach((other) => fleet.network.cutBoth(address, other.address)))
   await fleet.clock.advance(3000)
-  const pulls = fleet.boxes.flatMap((box) => linesOf(box, LogEvent.PeerCallFailed)).filter(({ call }) => call === MessageType.ConfigPull)
+  const pulls = fleet.boxes.flatMap((box) => logFieldsOf(box, LogEvent.PeerCallFailed)).filter(({ call }) => call === MessageType.ConfigPull)
   t.true(pulls.length > 0)
   t.true(pulls.every(({ peer, reason }) => String(peer).startsWith('box-') && String(reason).includes('did not answer')))
   await fleet.stop()
@@ -38,7 +38,7 @@
   const fleet = await new FakeFleet().start()
   await fleet.clock.run(fleet.send('box-1', fleet.completion('box-1', 'once upon a time')))
   await fleet.clock.advance(30_000)
-  t.deepEqual(fleet.boxes.flatMap((box) => [...linesOf(box, LogEvent.PeerCallFailed), ...linesOf(box, LogEvent.EngineCallFailed)]), [])
+  t.deepEqual(fleet.boxes.flatMap((box) => [...logFieldsOf(box, LogEvent.PeerCallFailed), ...logFieldsOf(box, LogEvent.EngineCallFailed)]), [])
   await fleet.stop()
 })
 
@@ -52,6 +52,6 @@
   fleet.network.healAll()
   fleet.platform.outage = false
   await fleet.clock.advance(20_000)
-  t.deepEqual(fleet.boxes.flatMap((box) => linesOf(box, LogEvent.TaskFailed)), [])
+  t.deepEqual(fleet.boxes.flatMap((box) => logFieldsOf(box, LogEvent.TaskFailed)), [])
   await fleet.stop()
 })
--- a/box/runtime/test/failureLog.ts
+++ b/box/runtime/test/failureLog.ts
@@ -16,32 +16,32 @@
 
 test('a call that fails again and again is told of at once and then once a minute, with how often it failed since', async (t) => {
   const { clock, log, metrics, failures } = createFailureLog()
-  const note = () => failures.note({ event: LogEvent.EngineCallFailed, call: 'report', target: { address: '10.1.0.1:80' } }, new Error('reset'))
-  note()
-  note()
-  note()
+  const fail = () => failures.recordCall({ event: LogEvent.EngineCallFailed, call: 'report', target: { address: '10.1.0.1:80' } }, new Error('reset'))
+  fail()
+  fail()
+  fail()
   t.deepEqual(log.entries.map(({ fields }) => fields), [{ call: 'report', address: '10.1.0.1:80', reason: 'reset', times: 1 }])
   await clock.advance(MINUTE_MS)
-  note()
+  fail()
   t.deepEqual(log.entries.map(({ fields }) => fields?.times), [1, 3])
   t.true(metrics.exposition().includes('reelspan_calls_failed_total{event="engineCallFailed",call="report"} 4'))
 })
 
 test('failures of many targets at once are told of in few lines, and all are counted', async (t) => {
   const { clock, log, metrics, failures } = createFailureLog()
-  const noteAll = () => Array.from({ length: 3000 }, (_, i) => failures.note({ event: LogEvent.PeerCallFailed, call: 'heartbeat', target: { address: `10.0.0.${i}:1` } }, 'cut'))
-  noteAll()
+  const failAll = () => Array.from({ length: 3000 }, (_, i) => failures.recordCall({ event: LogEvent.PeerCallFailed, call: 'heartbeat', target: { address: `10.0.0.${i}:1` } }, 'cut'))
+  failAll()
   const first = log.entries.length
   t.true(first > 0 && first <= 20, `${first} lines`)
   await clock.advance(2 * MINUTE_MS)
-  noteAll()
+  failAll()
   t.true(log.entries.length <= 2 * first)
   t.true(metrics.exposition().includes('reelspan_calls_failed_total{event="peerCallFailed",call="heartbeat"} 6000'))
 })
 
 test('a task that fails by a fault of the program is told of with the place in the code', (t) => {
   const { log, metrics, failures } = createFailureLog()
-  failures.noteTask('prober', new TypeError('x is not a function'))
+  failures.recordTask('prober', new TypeError('x is not a function'))
   t.is(log.entries[0].event, LogEvent.TaskFailed)
   t.like(log.entries[0].fields, { task: 'prober', reason: 'x is not a function', times: 1 })
   t.true(String(log.entries[0].fields?.at).includes('failureLog'))
--- a/box/runtime/test/fleetChanges.ts
+++ b/box/runtime/test/fleetChangeLogger.ts
@@ -14,10 +14,10 @@
   const guard = { lapsed: false }
   const log = new SilentLog()
   const fleet = new GuardedFleet({ clock: new VirtualClock(), listed, mayHaveLapsed: () => guard.lapsed })
-  const changes = new FleetChanges({ fleet, log, platformSilentMs: () => 1234.5 })
+  const changes = new FleetChanges({ fleet, log, sincePlatformContactMs: () => 1234.5 })
   const list = (...upstreams: ListedUpstream[]) => {
     Object.assign(listed, { value: new FleetList([], upstreams), revision: listed.revision + 1 })
-    changes.note({ era: 0, revision: listed.revision })
+    changes.logChanges({ era: 0, revision: listed.revision })
     return log.entries.at(-1)?.fields
   }
   return { log, guard, list }
--- a/box/runtime/test/leaving.ts
+++ b/box/runtime/test/leaving.ts
@@ -5,7 +5,7 @@
 import { expectedAnswer, promptFor } from '@reelspan/utils.fakes'
 import test from 'ava'
 
-const FEW_SECONDS_MS = 3000
+const PROPAGATION_MS = 3000
 
 function announceLeaving (fleet: FakeFleet, name: string, kind: UpstreamKind, pool: string): void {
   const spec = { kind, pool, address: fleet.address(name), availabilityZone: 'hall-a', leaving: true }
@@ -15,7 +15,7 @@
 test('a leaving service gets no new calls after a few seconds', async (t) => {
   const fleet = await new FakeFleet().start()
   announceLeaving(fleet, 'desk-1', UpstreamKind.Service, 'script-desk')
-  await fleet.clock.advance(FEW_SECONDS_MS)
+  await fleet.clock.advance(PROPAGATION_MS)
   const keys = fleet.boxes.flatMap(({ name }) => Array.from({ length: 4 }, () => fleet.key(name)))
   await fleet.clock.run(Promise.all(keys.map((key, i) => fleet.send(fleet.boxes[i % 8].name, fleet.booking(key)))))
   t.is(keys.filter((key) => fleet.service('desk-1').runs.has(key)).length, 0)
@@ -30,7 +30,7 @@
   await fleet.clock.advance(800)
   const engine = fleet.holds()[0].engine
   announceLeaving(fleet, engine, UpstreamKind.Engine, 'draft-decode')
-  await fleet.clock.advance(FEW_SECONDS_MS)
+  await fleet.clock.advance(PROPAGATION_MS)
   const runsBefore = fleet.engine(engine).decodeRuns.length
   const later = Array.from({ length: 20 }, (_, i) => fleet.send('box-2', fleet.completion('box-2', promptFor(`later-${i}`, { answerTokens: 5 }))))
   await fleet.clock.run(Promise.all(later))
--- a/box/runtime/test/membership.ts
+++ b/box/runtime/test/membership.ts
@@ -76,15 +76,15 @@
 
 test('a box that learns of its replacement takes a new incarnation', async (t) => {
   const fleet = await new FakeFleet().start()
-  const sleeper = fleet.box('box-3')
-  const before = sleeper.box.self.incarnation
-  sleeper.clock.pause()
+  const pausedBox = fleet.box('box-3')
+  const before = pausedBox.box.self.incarnation
+  pausedBox.clock.pause()
   await fleet.clock.advance(1000)
   await fleet.clock.run(fleet.startBox('box-3'))
   await fleet.clock.advance(3000)
-  sleeper.clock.resume()
+  pausedBox.clock.resume()
   await fleet.clock.advance(5000)
-  t.not(sleeper.box.self.incarnation, before)
-  t.true(sleeper.log.count(LogEvent.IncarnationRenewed) > 0)
+  t.not(pausedBox.box.self.incarnation, before)
+  t.true(pausedBox.log.count(LogEvent.IncarnationRenewed) > 0)
   await fleet.stop()
 })
--- a/box/runtime/test/metrics.ts
+++ b/box/runtime/test/metrics.ts
@@ -8,8 +8,8 @@
   return Object.fromEntries(lines.map((line) => [line.slice(name.length, line.lastIndexOf(' ')), Number(line.slice(line.lastIndexOf(' ')))]))
 }
 
-function ageMs (box: FakeBox, belief: string): number {
-  return valuesOf(box, 'reelspan_belief_age_ms')[`{belief="${belief}"}`]
+function ageMs (box: FakeBox, state: string): number {
+  return valuesOf(box, 'reelspan_belief_age_ms')[`{belief="${state}"}`]
 }
 
 test('the ages of what a box believes are among its metrics', async (t) => {
--- a/box/runtime/test/ownContactLost.ts
+++ b/box/runtime/test/ownContactLost.ts
@@ -10,7 +10,7 @@
 }
 const SEEDS = [1, 2, 3, 4]
 /** Upstreams whose entries go get no new work after this time. */
-const LEAVING_BOUND_MS = 2000
+const REMOVAL_BOUND_MS = 2000
 /** Within this time of its end, an absence of the platform counts no more. */
 const STABLE_AFTER_MS = 3000
 
@@ -24,17 +24,17 @@
   return fleet
 }
 
-function silence (fleet: FakeFleet, addresses: readonly string[]): void {
+function blockPlatform (fleet: FakeFleet, addresses: readonly string[]): void {
   addresses.forEach((address) => fleet.platform.silentTo.add(address))
 }
 
 /** The upstream's entry goes, without a word that it leaves. */
-function vanish (fleet: FakeFleet, name: string): void {
+function removeUpstream (fleet: FakeFleet, name: string): void {
   fleet.platform.publish(Collection.Fleet, [{ kind: FleetEntryKind.Upstream, name, spec: null }])
 }
 
 /** Boxes at the given addresses that would still give the upstream work. */
-function stillUsing (fleet: FakeFleet, name: string, addresses: readonly string[]): string[] {
+function boxesListing (fleet: FakeFleet, name: string, addresses: readonly string[]): string[] {
   return fleet.boxes
     .filter(({ address }) => addresses.includes(address))
     .filter(({ box }) => box.listsUpstream(name))
@@ -45,11 +45,11 @@
   for (const seed of SEEDS) {
     const fleet = await startFleet(seed)
     const cutOff = fleet.boxAddresses('hall-a')
-    silence(fleet, cutOff)
+    blockPlatform(fleet, cutOff)
     await fleet.clock.advance(4000)
-    vanish(fleet, 'desk-2')
-    await fleet.clock.advance(LEAVING_BOUND_MS)
-    t.deepEqual(stillUsing(fleet, 'desk-2', cutOff), [], `seed ${seed}`)
+    removeUpstream(fleet, 'desk-2')
+    await fleet.clock.advance(REMOVAL_BOUND_MS)
+    t.deepEqual(boxesListing(fleet, 'desk-2', cutOff), [], `seed ${seed}`)
     await fleet.stop()
   }
 })
@@ -58,15 +58,15 @@
   for (const seed of SEEDS) {
     const fleet = await startFleet(seed)
     const cutOff = fleet.boxAddresses('hall-a')
-    silence(fleet, cutOff)
+    blockPlatform(fleet, cutOff)
     fleet.cutOffZone('hall-a')
     await fleet.clock.advance(4000)
-    vanish(fleet, 'desk-2')
+    removeUpstream(fleet, 'desk-2')
     await fleet.clock.advance(9000)
     fleet.platform.silentTo.clear()
     fleet.network.healAll()
-    await fleet.clock.advance(LEAVING_BOUND_MS)
-    t.deepEqual(stillUsing(fleet, 'desk-2', cutOff), [], `seed ${seed}`)
+    await fleet.clock.advance(REMOVAL_BOUND_MS)
+    t.deepEqual(boxesListing(fleet, 'desk-2', cutOff), [], `seed ${seed}`)
     await fleet.stop()
   }
 })
@@ -74,13 +74,13 @@
 test('an upstream that vanishes soon after the platform is back is not taken for one whose entry lapsed', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet(seed, 1)
-    silence(fleet, fleet.everyAddress())
+    blockPlatform(fleet, fleet.everyAddress())
     await fleet.clock.advance(8000)
     fleet.platform.silentTo.clear()
     await fleet.clock.advance(STABLE_AFTER_MS)
-    vanish(fleet, 'desk-2')
-    await fleet.clock.advance(LEAVING_BOUND_MS)
-    t.deepEqual(stillUsing(fleet, 'desk-2', fleet.everyAddress()), [], `seed ${seed}`)
+    removeUpstream(fleet, 'desk-2')
+    await fleet.clock.advance(REMOVAL_BOUND_MS)
+    t.deepEqual(boxesListing(fleet, 'desk-2', fleet.everyAddress()), [], `seed ${seed}`)
     await fleet.stop()
   }
 })
--- a/box/runtime/test/platformAway.ts
+++ b/box/runtime/test/platformAway.ts
@@ -13,25 +13,25 @@
 const SOON_AFTER_MS = 1500
 
 /** The platform answers nobody for some time; an upstream's entry has lapsed when it is back. */
-async function lapsedIsKept (t: ExecutionContext, awayMs: number): Promise<void> {
+async function checkLapsedIsKept (t: ExecutionContext, outageMs: number): Promise<void> {
   for (const seed of SEEDS) {
     const fleet = await new FakeFleet({ seed, settings: PLATFORM_SETTINGS }).start()
     await fleet.clock.advance(5000 + 530 * seed)
     fleet.everyAddress().forEach((address) => fleet.platform.silentTo.add(address))
-    await fleet.clock.advance(awayMs)
+    await fleet.clock.advance(outageMs)
     fleet.platform.publish(Collection.Fleet, [{ kind: FleetEntryKind.Upstream, name: 'desk-2', spec: null }])
     fleet.platform.silentTo.clear()
     await fleet.clock.advance(SOON_AFTER_MS)
-    const dropping = fleet.boxes.filter(({ box }) => !box.listsUpstream('desk-2')).map(({ name }) => name)
-    t.deepEqual(dropping, [], `seed ${seed}`)
+    const boxesWithoutUpstream = fleet.boxes.filter(({ box }) => !box.listsUpstream('desk-2')).map(({ name }) => name)
+    t.deepEqual(boxesWithoutUpstream, [], `seed ${seed}`)
     await fleet.stop()
   }
 }
 
 test('entries that lapsed while the platform was silent for long are kept until they can be back', async (t) => {
-  await lapsedIsKept(t, 7000)
+  await checkLapsedIsKept(t, 7000)
 })
 
 test('entries that lapsed while the platform was silent for a little longer than they live are kept until they can be back', async (t) => {
-  await lapsedIsKept(t, 4500)
+  await checkLapsedIsKept(t, 4500)
 })
--- a/box/runtime/test/restoredPlatform.ts
+++ b/box/runtime/test/restoredPlatform.ts
@@ -4,10 +4,10 @@
 import { type FakeFleet } from '@reelspan/utils.fake-fleet'
 import { LogEvent } from '@reelspan/telemetry.log'
 import test from 'ava'
-import { CONTACT_MS, HOST, SERVICES, startFleet } from './__utils__/crashingRequests.js'
+import { PROPAGATION_MS, HOST, SERVICES, startFleet } from './__utils__/crashingRequests.js'
 import { arrivalsAt, load } from './__utils__/limitedUpstreams.js'
 
-const AWAY_MS = 2000
+const OUTAGE_MS = 2000
 const CONFIG_DEADLINE_MS = 2000
 const DRAIN_MS = 2000
 const ENTRY_LIFE_MS = 3600
@@ -25,15 +25,15 @@
 }
 
 /** Writes what the copy does not have, and takes it everywhere: desk-1 leaves, desk-2 is gone, a version of the declarations. */
-async function writeOn (fleet: FakeFleet): Promise<number> {
+async function writeAfterCopy (fleet: FakeFleet): Promise<number> {
   fleet.platform.publish(Collection.Fleet, [entryOf(fleet, 'desk-1', { leaving: true })])
   fleet.platform.publish(Collection.Fleet, [{ kind: FleetEntryKind.Upstream, name: 'desk-2', spec: null }])
   const version = publishVersion(fleet, 2400)
-  await fleet.clock.advance(CONTACT_MS)
+  await fleet.clock.advance(PROPAGATION_MS)
   return version
 }
 
-interface Return {
+interface RestoreSteps {
   /** While the platform is away. */
   meanwhile?: (fleet: FakeFleet) => void
   /** Right after it has come back. */
@@ -41,10 +41,10 @@
 }
 
 /** The platform is away for a moment and comes back from a copy that lacks what was written last. */
-async function comeBack (fleet: FakeFleet, copy: ReturnType<FakeFleet['platform']['copy']>, { meanwhile, afterwards }: Return = {}): Promise<void> {
+async function restoreFromCopy (fleet: FakeFleet, copy: ReturnType<FakeFleet['platform']['copy']>, { meanwhile, afterwards }: RestoreSteps = {}): Promise<void> {
   fleet.platform.outage = true
   meanwhile?.(fleet)
-  await fleet.clock.advance(AWAY_MS)
+  await fleet.clock.advance(OUTAGE_MS)
   fleet.platform.restore(copy)
   fleet.platform.outage = false
   await afterwards?.(fleet)
@@ -54,7 +54,7 @@
   return [...new Set(fleet.liveBoxes().map(({ box }) => box.configuration.revision))]
 }
 
-const OTHER_TROUBLE: Record<string, Return> = {
+const OTHER_FAULTS: Record<string, RestoreSteps> = {
   'nothing else': {},
   'half of the boxes cut off from the platform': {
     meanwhile: ({ boxes, platform }) => boxes.filter((_, i) => i % 2 === 0).forEach(({ address }) => platform.silentTo.add(address)),
@@ -75,18 +75,18 @@
   },
 }
 
-for (const [boxCount, trouble] of [[2, 'nothing else'], [60, 'nothing else'], ...Object.keys(OTHER_TROUBLE).map((name) => [8, name] as const)] as const) {
-  test(`${boxCount} boxes go back to the platform's older copy, or miss what is written after it, with ${trouble}`, async (t) => {
+for (const [boxCount, fault] of [[2, 'nothing else'], [60, 'nothing else'], ...Object.keys(OTHER_FAULTS).map((name) => [8, name] as const)] as const) {
+  test(`${boxCount} boxes go back to the platform's older copy, or miss what is written after it, with ${fault}`, async (t) => {
     const fleet = await startFleet({ boxCount })
     const copy = fleet.platform.copy()
-    const version = await writeOn(fleet)
+    const version = await writeAfterCopy(fleet)
     t.deepEqual(versions(fleet), [version])
-    await comeBack(fleet, copy, OTHER_TROUBLE[trouble])
-    const backAtMs = fleet.clock.nowMs()
-    const live = fleet.liveBoxes().map(({ name }) => name).filter((name) => !['box-1', 'box-2', 'box-3'].includes(name) || trouble !== 'some boxes killed as it comes back, and started again')
+    await restoreFromCopy(fleet, copy, OTHER_FAULTS[fault])
+    const restoredAtMs = fleet.clock.nowMs()
+    const live = fleet.liveBoxes().map(({ name }) => name).filter((name) => !['box-1', 'box-2', 'box-3'].includes(name) || fault !== 'some boxes killed as it comes back, and started again')
     const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: ENTRY_LIFE_MS / 1000, boxes: live, name: 'copy' })
-    t.deepEqual(arrivalsAt(fleet, 'desk-1', backAtMs), [], 'what had said that it leaves')
-    t.deepEqual(arrivalsAt(fleet, 'desk-2', backAtMs), [], 'what was gone')
+    t.deepEqual(arrivalsAt(fleet, 'desk-1', restoredAtMs), [], 'what had said that it leaves')
+    t.deepEqual(arrivalsAt(fleet, 'desk-2', restoredAtMs), [], 'what was gone')
     t.deepEqual(versions(fleet), [version])
     t.true(outcomes.every(({ caller }) => caller.whole))
 
@@ -109,13 +109,13 @@
   fleet.platform.publish(Collection.Fleet, [entryOf(fleet, 'desk-4', { leaving: true })])
   await fleet.clock.advance(500)
   const newer = fleet.platform.copy()
-  const version = await writeOn(fleet)
-  await comeBack(fleet, newer)
+  const version = await writeAfterCopy(fleet)
+  await restoreFromCopy(fleet, newer)
   await fleet.clock.advance(700)
-  await comeBack(fleet, older)
-  const backAtMs = fleet.clock.nowMs()
+  await restoreFromCopy(fleet, older)
+  const restoredAtMs = fleet.clock.nowMs()
   const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 3 });
-  ['desk-1', 'desk-2', 'desk-4'].forEach((name) => t.deepEqual(arrivalsAt(fleet, name, backAtMs), [], name))
+  ['desk-1', 'desk-2', 'desk-4'].forEach((name) => t.deepEqual(arrivalsAt(fleet, name, restoredAtMs), [], name))
   t.true(outcomes.every(({ caller }) => caller.whole))
   t.deepEqual(versions(fleet), [version])
   const next = publishVersion(fleet, 2300)
@@ -127,9 +127,9 @@
 test('boxes that are all killed as the platform comes back miss what is written after it', async (t) => {
   const fleet = await startFleet()
   const copy = fleet.platform.copy()
-  await writeOn(fleet)
+  await writeAfterCopy(fleet)
   const names = fleet.liveBoxes().map(({ name }) => name)
-  await comeBack(fleet, copy, {
+  await restoreFromCopy(fleet, copy, {
     afterwards: async () => {
       names.forEach((name) => fleet.kill(name))
       await fleet.clock.run(Promise.all(names.map((name) => fleet.startBox(name))))
@@ -148,8 +148,8 @@
 test('sixty boxes read everything from the platform at one moment when it is back', async (t) => {
   const fleet = await startFleet({ boxCount: 60 })
   const copy = fleet.platform.copy()
-  await writeOn(fleet)
-  await comeBack(fleet, copy)
+  await writeAfterCopy(fleet)
+  await restoreFromCopy(fleet, copy)
   const callsBefore = fleet.platform.calls
   await fleet.clock.advance(1000)
   t.true(fleet.platform.calls - callsBefore < 60, `${fleet.platform.calls - callsBefore} calls in the first second`)
--- a/box/runtime/test/retryAfter.ts
+++ b/box/runtime/test/retryAfter.ts
@@ -2,7 +2,7 @@
 import test from 'ava'
 import { DECODE_ENGINES, PREFILL_ENGINES, SERVICES, startFleet } from './__utils__/crashingRequests.js'
 import { arrivalsAt, load } from './__utils__/limitedUpstreams.js'
-import { AT_ONCE_MS, MAX_IN_BACKOFF, mostInBackoff, refuseWithBackoff } from './__utils__/signallingUpstreams.js'
+import { REFUSAL_BOUND_MS, MAX_IN_BACKOFF, mostInBackoff, refuseWithBackoff } from './__utils__/signallingUpstreams.js'
 
 const DURATION_MS = 3000
 const REFUSING = {
@@ -39,7 +39,7 @@
     t.deepEqual([...codes], [ErrorCode.UpstreamBackoff])
     outcomes.forEach(({ caller: { refused }, heldMs }) => {
       t.is(refused?.verdict, Verdict.NotRun)
-      t.true(heldMs <= AT_ONCE_MS, `${heldMs}`)
+      t.true(heldMs <= REFUSAL_BOUND_MS, `${heldMs}`)
       const retryAfterMs = refused?.retryAfterMs ?? 0
       t.true(retryAfterMs > 0 && retryAfterMs <= DURATION_MS + 1000, `${retryAfterMs}`)
     })
--- a/box/runtime/test/rolesFollowLoad.ts
+++ b/box/runtime/test/rolesFollowLoad.ts
@@ -18,7 +18,7 @@
 }
 
 /** Parts of the requests of the last half of the load that were served, with their first token in time. */
-async function playLoad (rolesFollowLoad: boolean) {
+async function runLoad (rolesFollowLoad: boolean) {
   const fleet = await new FakeFleet({ settings: { scheduling: { rolesFollowLoad } } }).start()
   await fleet.clock.advance(6000)
   const random = new SeededRandom(5)
@@ -42,8 +42,8 @@
 }
 
 test('prefill engines that a load of long answers does not need decode, and more callers are served in time', async (t) => {
-  const before = await playLoad(false)
-  const after = await playLoad(true)
+  const before = await runLoad(false)
+  const after = await runLoad(true)
   t.log(`in time: ${before.inTime.toFixed(3)} with fixed roles, ${after.inTime.toFixed(3)} with roles that follow the load; ${after.orders} orders`)
   t.deepEqual([before.prefill, before.decode, before.orders], [3, 5, 0])
   t.true(after.decode > 5 && after.prefill >= 1, `${after.prefill} prefill, ${after.decode} decode`)
--- a/box/runtime/test/upstreamLimit.ts
+++ b/box/runtime/test/upstreamLimit.ts
@@ -7,26 +7,26 @@
 import { FakeFleet } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
 import { startFleet } from './__utils__/crashingRequests.js'
-import { arrivalsAt, fullestAt, load, nameLimits } from './__utils__/limitedUpstreams.js'
+import { arrivalsAt, peakUsageAt, load, advertiseLimits } from './__utils__/limitedUpstreams.js'
 
 const LIMITS = { 'desk-1': 4.6, 'desk-2': 4, 'prefill-1': 2, 'decode-1': 1.5, 'decode-2': 0.4 }
 const SECONDS = 15
 
 /** Load at a fleet of which some upstreams name limits, and how full each of these became. */
-async function fullest (fleet: FakeFleet, upstreams: readonly (keyof typeof LIMITS)[], { target, perSecond }: { target: string, perSecond: number }) {
-  const namedAtMs = fleet.clock.nowMs()
-  nameLimits(fleet, LIMITS)
+async function peakUsages (fleet: FakeFleet, upstreams: readonly (keyof typeof LIMITS)[], { target, perSecond }: { target: string, perSecond: number }) {
+  const advertisedAtMs = fleet.clock.nowMs()
+  advertiseLimits(fleet, LIMITS)
   await load(fleet, { target, perSecond, seconds: SECONDS })
   return upstreams.map((upstream) => ({
     upstream,
-    got: arrivalsAt(fleet, upstream, namedAtMs).length,
-    fullest: Number(fullestAt(fleet, upstream, { perSecond: LIMITS[upstream], namedAtMs }).toFixed(2)),
+    got: arrivalsAt(fleet, upstream, advertisedAtMs).length,
+    fullest: Number(peakUsageAt(fleet, upstream, { perSecond: LIMITS[upstream], advertisedAtMs }).toFixed(2)),
   }))
 }
 
 test('calls to upstreams that name a limit keep it, summed over all boxes', async (t) => {
   const fleet = await startFleet()
-  const seen = await fullest(fleet, ['desk-1', 'desk-2'], { target: '/status/', perSecond: 60 })
+  const seen = await peakUsages(fleet, ['desk-1', 'desk-2'], { target: '/status/', perSecond: 60 })
   t.log(seen)
   seen.forEach((one) => t.true(one.fullest <= 1, `${one.upstream}: ${one.fullest}`))
   await fleet.stop()
@@ -34,7 +34,7 @@
 
 test('prompts and streams keep the limits that engines name, summed over all boxes', async (t) => {
   const fleet = await startFleet()
-  const seen = await fullest(fleet, ['prefill-1', 'decode-1', 'decode-2'], { target: '/draft/', perSecond: 25 })
+  const seen = await peakUsages(fleet, ['prefill-1', 'decode-1', 'decode-2'], { target: '/draft/', perSecond: 25 })
   t.log(seen)
   seen.forEach((one) => t.true(one.fullest <= 1, `${one.upstream}: ${one.fullest}`))
   await fleet.stop()
