--- a/box/runtime/test/upstreamLimitShared.ts
+++ b/box/runtime/test/upstreamLimitShared.ts
@@ -3,20 +3,20 @@
 import { Collection } from '@reelspan/core.messages'
 import { type FakeFleet } from '@reelspan/utils.fake-fleet'
 import test, { type ExecutionContext } from 'ava'
-import { CONTACT_MS, HOST, SERVICES, startFleet } from './__utils__/crashingRequests.js'
-import { arrivalsAt, fullestAt, load, nameLimits, type Outcome } from './__utils__/limitedUpstreams.js'
+import { PROPAGATION_MS, HOST, SERVICES, startFleet } from './__utils__/crashingRequests.js'
+import { arrivalsAt, peakUsageAt, load, advertiseLimits, type Outcome } from './__utils__/limitedUpstreams.js'
 
 /** Of what a limit lets through in a time, this much at least is taken where more is asked. */
-const LEAST_TAKEN = 0.9
+const MIN_USED_SHARE = 0.9
 /** Boxes answer at once what no upstream may take: within some calls between boxes. */
-const AT_ONCE_MS = 100
+const REFUSAL_BOUND_MS = 100
 
 /** Every service names this limit. */
-const allDesks = (perSecond: number) => Object.fromEntries(SERVICES.map((name) => [name, perSecond]))
+const limitAllDesks = (perSecond: number) => Object.fromEntries(SERVICES.map((name) => [name, perSecond]))
 
 /** What an upstream got in the seconds after all boxes must know its limit, as a part of what it takes in that time. */
-function takenAt (fleet: FakeFleet, upstream: string, perSecond: number, { namedAtMs, seconds }: { namedAtMs: number, seconds: number }): number {
-  const fromMs = namedAtMs + CONTACT_MS
+function usedShareAt (fleet: FakeFleet, upstream: string, perSecond: number, { advertisedAtMs, seconds }: { advertisedAtMs: number, seconds: number }): number {
+  const fromMs = advertisedAtMs + PROPAGATION_MS
   const arrivals = arrivalsAt(fleet, upstream, fromMs).filter(({ atMs }) => atMs < fromMs + seconds * 1000)
   return arrivals.length / (perSecond * seconds)
 }
@@ -30,23 +30,23 @@
   t.deepEqual([...new Set(refusals.map(({ caller }) => caller.refused?.code))], [ErrorCode.UpstreamLimit])
   t.deepEqual([...new Set(refusals.map(({ caller }) => caller.refused?.verdict))], [Verdict.NotRun])
   refusals.forEach(({ caller }) => t.true((caller.refused?.retryAfterMs ?? 0) > 0))
-  t.true(Math.max(...refusals.map(({ heldMs }) => heldMs)) <= AT_ONCE_MS)
+  t.true(Math.max(...refusals.map(({ heldMs }) => heldMs)) <= REFUSAL_BOUND_MS)
   t.true(fleet.relayed.arrivals.length > 0)
 }
 
 for (const boxCount of [2, 8, 195]) {
   test(`${boxCount} boxes give upstreams that all name a limit what they take, and refuse the rest at once`, async (t) => {
     const fleet = await startFleet({ boxCount })
-    const namedAtMs = fleet.clock.nowMs()
+    const advertisedAtMs = fleet.clock.nowMs()
     const perSecond = 4
-    nameLimits(fleet, allDesks(perSecond))
-    await load(fleet, { target: '/status/', perSecond: 40, seconds: CONTACT_MS / 1000, name: 'first' })
+    advertiseLimits(fleet, limitAllDesks(perSecond))
+    await load(fleet, { target: '/status/', perSecond: 40, seconds: PROPAGATION_MS / 1000, name: 'first' })
     const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 12 })
-    const seen = SERVICES.map((upstream) => ({ upstream, fullest: fullestAt(fleet, upstream, { perSecond, namedAtMs }), taken: takenAt(fleet, upstream, perSecond, { namedAtMs, seconds: 12 }) }))
+    const seen = SERVICES.map((upstream) => ({ upstream, fullest: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), taken: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 12 }) }))
     t.log(seen)
     seen.forEach(({ fullest, taken }) => {
       t.true(fullest <= 1)
-      t.true(taken >= LEAST_TAKEN)
+      t.true(taken >= MIN_USED_SHARE)
     })
     checkRefusals(t, fleet, refused(outcomes))
     await fleet.stop()
@@ -55,7 +55,7 @@
 
 test('callers that another upstream may serve are not refused', async (t) => {
   const fleet = await startFleet()
-  nameLimits(fleet, { 'desk-1': 3, 'desk-2': 3, 'desk-3': 0.5, 'desk-4': 0 })
+  advertiseLimits(fleet, { 'desk-1': 3, 'desk-2': 3, 'desk-3': 0.5, 'desk-4': 0 })
   const outcomes = await load(fleet, { target: '/once/', perSecond: 30, seconds: 10 })
   t.deepEqual(refused(outcomes), [])
   await fleet.stop()
@@ -63,17 +63,17 @@
 
 test('streams whose engines all name a limit are given what these take, and the rest is refused unrun', async (t) => {
   const fleet = await startFleet()
-  const namedAtMs = fleet.clock.nowMs()
+  const advertisedAtMs = fleet.clock.nowMs()
   const engines = ['prefill-1', 'prefill-2', 'prefill-3', 'prefill-4']
   const perSecond = 1.5
-  nameLimits(fleet, Object.fromEntries(engines.map((name) => [name, perSecond])))
-  await load(fleet, { target: '/draft/', perSecond: 20, seconds: CONTACT_MS / 1000, name: 'first' })
+  advertiseLimits(fleet, Object.fromEntries(engines.map((name) => [name, perSecond])))
+  await load(fleet, { target: '/draft/', perSecond: 20, seconds: PROPAGATION_MS / 1000, name: 'first' })
   const outcomes = await load(fleet, { target: '/draft/', perSecond: 20, seconds: 36 })
-  const seen = engines.map((upstream) => ({ upstream, fullest: fullestAt(fleet, upstream, { perSecond, namedAtMs }), taken: takenAt(fleet, upstream, perSecond, { namedAtMs, seconds: 36 }) }))
+  const seen = engines.map((upstream) => ({ upstream, fullest: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), taken: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 36 }) }))
   t.log(seen, refused(outcomes).length)
   seen.forEach(({ fullest, taken }) => {
     t.true(fullest <= 1)
-    t.true(taken >= LEAST_TAKEN)
+    t.true(taken >= MIN_USED_SHARE)
   })
   const ran = new Set(fleet.relayed.arrivals.map(({ id }) => id))
   refused(outcomes).forEach(({ caller }) => t.is(caller.refused?.verdict, Verdict.NotRun))
@@ -84,33 +84,33 @@
 test('a limit that falls, rises or goes holds as it is named', async (t) => {
   const fleet = await startFleet()
   const play = async (limits: Record<string, number>, name: string) => {
-    const namedAtMs = fleet.clock.nowMs()
-    nameLimits(fleet, limits)
+    const advertisedAtMs = fleet.clock.nowMs()
+    advertiseLimits(fleet, limits)
     await load(fleet, { target: '/status/', perSecond: 60, seconds: 12, name })
-    return { namedAtMs, seconds: 9 }
+    return { advertisedAtMs, seconds: 9 }
   }
-  const first = await play(allDesks(6), 'first')
-  t.true(takenAt(fleet, 'desk-1', 6, first) >= LEAST_TAKEN)
-  t.true(fullestAt(fleet, 'desk-1', { perSecond: 6, namedAtMs: first.namedAtMs }) <= 1)
-  const fallen = await play({ ...allDesks(6), 'desk-1': 0.5 }, 'fallen')
-  t.true(fullestAt(fleet, 'desk-1', { perSecond: 0.5, namedAtMs: fallen.namedAtMs }) <= 1)
-  t.true(takenAt(fleet, 'desk-1', 0.5, fallen) >= 0.7)
-  const risen = await play({ ...allDesks(6), 'desk-1': 5 }, 'risen')
-  t.true(takenAt(fleet, 'desk-1', 5, risen) >= LEAST_TAKEN)
-  const gone = await play({ ...allDesks(6), 'desk-1': undefined as unknown as number }, 'gone')
-  t.true(takenAt(fleet, 'desk-1', 20, gone) >= LEAST_TAKEN)
+  const first = await play(limitAllDesks(6), 'first')
+  t.true(usedShareAt(fleet, 'desk-1', 6, first) >= MIN_USED_SHARE)
+  t.true(peakUsageAt(fleet, 'desk-1', { perSecond: 6, advertisedAtMs: first.advertisedAtMs }) <= 1)
+  const fallen = await play({ ...limitAllDesks(6), 'desk-1': 0.5 }, 'fallen')
+  t.true(peakUsageAt(fleet, 'desk-1', { perSecond: 0.5, advertisedAtMs: fallen.advertisedAtMs }) <= 1)
+  t.true(usedShareAt(fleet, 'desk-1', 0.5, fallen) >= 0.7)
+  const risen = await play({ ...limitAllDesks(6), 'desk-1': 5 }, 'risen')
+  t.true(usedShareAt(fleet, 'desk-1', 5, risen) >= MIN_USED_SHARE)
+  const gone = await play({ ...limitAllDesks(6), 'desk-1': undefined as unknown as number }, 'gone')
+  t.true(usedShareAt(fleet, 'desk-1', 20, gone) >= MIN_USED_SHARE)
   await fleet.stop()
 })
 
 test('an upstream that takes nothing gets a request now and then, and is used again when it takes some', async (t) => {
   const fleet = await startFleet()
-  const namedAtMs = fleet.clock.nowMs()
-  nameLimits(fleet, { 'desk-1': 0 })
+  const advertisedAtMs = fleet.clock.nowMs()
+  advertiseLimits(fleet, { 'desk-1': 0 })
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 25 })
-  const tries = arrivalsAt(fleet, 'desk-1', namedAtMs + CONTACT_MS).length
+  const tries = arrivalsAt(fleet, 'desk-1', advertisedAtMs + PROPAGATION_MS).length
   t.true(tries >= 1 && tries <= 3, `${tries}`)
   const endedAtMs = fleet.clock.nowMs()
-  nameLimits(fleet, {})
+  advertiseLimits(fleet, {})
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 25, name: 'ended' })
   t.true(arrivalsAt(fleet, 'desk-1', endedAtMs).length > 20)
   await fleet.stop()
@@ -118,24 +118,24 @@
 
 test('what cannot be read as a limit changes nothing', async (t) => {
   const fleet = await startFleet()
-  const namedAtMs = fleet.clock.nowMs()
+  const advertisedAtMs = fleet.clock.nowMs()
   fleet.relayed.signalsOf = (upstream) => upstream === 'desk-1' ? { rateLimit: { text: 'few' } } : {}
   const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 8 })
   t.deepEqual(refused(outcomes), [])
-  t.true(takenAt(fleet, 'desk-1', 5, { namedAtMs, seconds: 5 }) >= LEAST_TAKEN)
+  t.true(usedShareAt(fleet, 'desk-1', 5, { advertisedAtMs, seconds: 5 }) >= MIN_USED_SHARE)
   await fleet.stop()
 })
 
 test('an upstream that starts again owes nothing to the limit of its start before', async (t) => {
   const fleet = await startFleet()
-  nameLimits(fleet, { 'desk-1': 0.5 })
+  advertiseLimits(fleet, { 'desk-1': 0.5 })
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 6 })
   const spec = { kind: UpstreamKind.Service, pool: 'script-desk', availabilityZone: 'hall-a', address: fleet.address('desk-1') }
   fleet.platform.publish(Collection.Fleet, [
     { kind: FleetEntryKind.Upstream, name: 'desk-1', spec: null },
     { kind: FleetEntryKind.Upstream, name: 'desk-1@2', spec },
   ])
-  await fleet.clock.advance(CONTACT_MS)
+  await fleet.clock.advance(PROPAGATION_MS)
   const startedAtMs = fleet.clock.nowMs()
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 5, name: 'again' })
   t.true(arrivalsAt(fleet, 'desk-1@2', startedAtMs).length / 5 > 4)
@@ -146,11 +146,11 @@
   const fleet = await startFleet()
   const run = fleet.relayed.run.bind(fleet.relayed)
   fleet.relayed.run = (target, request, opts) => ({ ...run(target, request, opts), ...target.instance === 'desk-1' ? { status: 500 } : {} })
-  const namedAtMs = fleet.clock.nowMs()
+  const advertisedAtMs = fleet.clock.nowMs()
   const others = SERVICES.filter((name) => name !== 'desk-1')
-  nameLimits(fleet, Object.fromEntries(others.map((name) => [name, 2])))
+  advertiseLimits(fleet, Object.fromEntries(others.map((name) => [name, 2])))
   const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 12 })
-  others.forEach((upstream) => t.true(fullestAt(fleet, upstream, { perSecond: 2, namedAtMs }) <= 1, upstream))
+  others.forEach((upstream) => t.true(peakUsageAt(fleet, upstream, { perSecond: 2, advertisedAtMs }) <= 1, upstream))
   t.deepEqual(refused(outcomes), [])
   t.deepEqual([...new Set(outcomes.map(({ caller }) => caller.status))].sort(), [200, 500])
   await fleet.stop()
@@ -159,8 +159,8 @@
 test('streams that go on elsewhere count', async (t) => {
   const fleet = await startFleet()
   const engines = fleet.allEngines().map(({ name }) => name).filter((name) => name.startsWith('decode'))
-  const namedAtMs = fleet.clock.nowMs()
-  nameLimits(fleet, Object.fromEntries(engines.map((name) => [name, 1])))
+  const advertisedAtMs = fleet.clock.nowMs()
+  advertiseLimits(fleet, Object.fromEntries(engines.map((name) => [name, 1])))
   const crashes = (async () => {
     for (const engine of engines.slice(0, 6)) {
       await fleet.clock.sleep(1500)
@@ -171,23 +171,23 @@
   await crashes
   const resumed = fleet.relayed.arrivals.filter(({ id, prefill }, i, all) => !prefill && all.some((one, j) => j < i && one.id === id && !one.prefill))
   t.true(resumed.length > 0)
-  engines.forEach((upstream) => t.true(fullestAt(fleet, upstream, { perSecond: 1, namedAtMs }) <= 1, upstream))
+  engines.forEach((upstream) => t.true(peakUsageAt(fleet, upstream, { perSecond: 1, advertisedAtMs }) <= 1, upstream))
   await fleet.stop()
 })
 
 /** Boxes that believe that an upstream names a limit. */
-function believers (fleet: FakeFleet, upstream: string): string[] {
+function boxesWithLimit (fleet: FakeFleet, upstream: string): string[] {
   return fleet.liveBoxes().filter(({ box }) => box.describe().upstreamStates.some((state) => state.upstream === upstream && state.perSecond !== undefined)).map(({ name }) => name)
 }
 
 for (const boxCount of [8, 195]) {
   test(`of ${boxCount} boxes each knows within 300 ms what one of them was told`, async (t) => {
     const fleet = await startFleet({ boxCount })
-    nameLimits(fleet, allDesks(3))
+    advertiseLimits(fleet, limitAllDesks(3))
     void fleet.relay('box-1', { id: 'first', host: HOST, target: '/once/first', prompt: undefined })
     await fleet.clock.advance(300)
     const [{ upstream }] = fleet.relayed.arrivals
-    t.is(believers(fleet, upstream).length, boxCount)
+    t.is(boxesWithLimit(fleet, upstream).length, boxCount)
     await fleet.stop()
   })
 }
@@ -196,56 +196,56 @@
   const fleet = await startFleet()
   const inside = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a').map(({ name }) => name)
   fleet.cutOffZone('hall-a')
-  nameLimits(fleet, { 'desk-2': 3 })
+  advertiseLimits(fleet, { 'desk-2': 3 })
   const outside = fleet.boxes.map(({ name }) => name).filter((name) => !inside.includes(name))
   await load(fleet, { target: '/status/', perSecond: 30, seconds: 2, boxes: outside })
-  t.deepEqual(believers(fleet, 'desk-2'), outside)
+  t.deepEqual(boxesWithLimit(fleet, 'desk-2'), outside)
   fleet.network.healAll()
-  await fleet.clock.advance(CONTACT_MS)
-  t.is(believers(fleet, 'desk-2').length, fleet.boxes.length)
+  await fleet.clock.advance(PROPAGATION_MS)
+  t.is(boxesWithLimit(fleet, 'desk-2').length, fleet.boxes.length)
   fleet.kill('box-2')
   await fleet.clock.advance(500)
   await fleet.clock.run(fleet.startBox('box-2'))
   await fleet.clock.advance(1000)
-  t.true(believers(fleet, 'desk-2').includes('box-2'))
+  t.true(boxesWithLimit(fleet, 'desk-2').includes('box-2'))
   await fleet.stop()
 })
 
 /** The boxes that keep permits of an upstream at present. */
-function homesOf (fleet: FakeFleet, limits: Readonly<Record<string, number>>): string[] {
-  return Object.keys(limits).flatMap((upstream) => fleet.liveBoxes().filter(({ box }) => box.keepsPermitsOf(upstream)).map(({ name }) => name))
+function coordinatorsOf (fleet: FakeFleet, limits: Readonly<Record<string, number>>): string[] {
+  return Object.keys(limits).flatMap((upstream) => fleet.liveBoxes().filter(({ box }) => box.coordinatesPermitsOf(upstream)).map(({ name }) => name))
 }
 
 enum Fault {
-  KillHome = 'the home ends',
-  RestartHome = 'the home ends and is back with nothing',
-  FreezeHome = 'the home is suspended for two seconds',
-  CutHome = 'the home is cut off from all others',
+  KillCoordinator = 'the home ends',
+  RestartCoordinator = 'the home ends and is back with nothing',
+  FreezeCoordinator = 'the home is suspended for two seconds',
+  CutCoordinator = 'the home is cut off from all others',
   CutZone = 'a zone is cut off',
   RestartAll = 'all boxes restart one after the other',
 }
 
-async function strike (fleet: FakeFleet, fault: Fault, home: string): Promise<string[]> {
+async function injectFault (fleet: FakeFleet, fault: Fault, coordinator: string): Promise<string[]> {
   const { clock } = fleet
   switch (fault) {
-    case Fault.KillHome:
-      fleet.kill(home)
-      return [home]
-    case Fault.RestartHome:
-      fleet.kill(home)
+    case Fault.KillCoordinator:
+      fleet.kill(coordinator)
+      return [coordinator]
+    case Fault.RestartCoordinator:
+      fleet.kill(coordinator)
       await clock.sleep(400)
-      await fleet.startBox(home)
-      return [home]
-    case Fault.FreezeHome:
-      fleet.box(home).clock.pause()
+      await fleet.startBox(coordinator)
+      return [coordinator]
+    case Fault.FreezeCoordinator:
+      fleet.box(coordinator).clock.pause()
       await clock.sleep(2000)
-      fleet.box(home).clock.resume()
-      return [home]
-    case Fault.CutHome:
-      fleet.cutOff(home)
+      fleet.box(coordinator).clock.resume()
+      return [coordinator]
+    case Fault.CutCoordinator:
+      fleet.cutOff(coordinator)
       await clock.sleep(4000)
       fleet.network.healAll()
-      return [home]
+      return [coordinator]
     case Fault.CutZone: {
       const inside = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a').map(({ name }) => name)
       fleet.cutOffZone('hall-a')
@@ -270,21 +270,21 @@
   for (const seed of [1, 2, 3]) {
     test(`limits hold, and what upstreams take is taken, while ${fault} (seed ${seed})`, async (t) => {
       const fleet = await startFleet({ seed })
-      const namedAtMs = fleet.clock.nowMs()
+      const advertisedAtMs = fleet.clock.nowMs()
       const perSecond = 5
-      const limits = allDesks(perSecond)
-      nameLimits(fleet, limits)
+      const limits = limitAllDesks(perSecond)
+      advertiseLimits(fleet, limits)
       await load(fleet, { target: '/status/', perSecond: 50, seconds: 5, name: 'before' })
-      const [home] = homesOf(fleet, limits)
-      const struck = strike(fleet, fault, home)
+      const [coordinator] = coordinatorsOf(fleet, limits)
+      const excusedBoxes = injectFault(fleet, fault, coordinator)
       await load(fleet, { target: '/status/', perSecond: 50, seconds: 12, name: 'during' })
-      const excused = (await fleet.clock.run(struck)).map((name) => fleet.address(name))
-      const all = SERVICES.map((upstream) => fullestAt(fleet, upstream, { perSecond, namedAtMs }))
-      const counted = SERVICES.map((upstream) => fullestAt(fleet, upstream, { perSecond, namedAtMs, excused }))
-      const taken = SERVICES.map((upstream) => takenAt(fleet, upstream, perSecond, { namedAtMs, seconds: 14 }))
-      t.log({ home, all, counted, taken })
+      const excused = (await fleet.clock.run(excusedBoxes)).map((name) => fleet.address(name))
+      const all = SERVICES.map((upstream) => peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }))
+      const counted = SERVICES.map((upstream) => peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs, excused }))
+      const taken = SERVICES.map((upstream) => usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 14 }))
+      t.log({ home: coordinator, all, counted, taken })
       counted.forEach((fullest) => t.true(fullest <= 1))
-      taken.forEach((part) => t.true(part >= LEAST_TAKEN - 0.25))
+      taken.forEach((part) => t.true(part >= MIN_USED_SHARE - 0.25))
       await fleet.stop()
     })
   }
--- a/box/runtime/test/upstreamReports.ts
+++ b/box/runtime/test/upstreamReports.ts
@@ -11,7 +11,7 @@
 const DOWN_MS = 1100
 
 /** Calls through all boxes in turn, while one upstream takes connections and closes them. Answers how many were lost. */
-async function callsLost (fleet: FakeFleet): Promise<number> {
+async function countLostCalls (fleet: FakeFleet): Promise<number> {
   const down = fleet.address('desk-1')
   const downUntilMs = fleet.clock.nowMs() + DOWN_MS
   const run = fleet.relayed.run.bind(fleet.relayed)
@@ -30,7 +30,7 @@
 
 test('an upstream that closes connections costs the fleet a few calls, not one of each box', async (t) => {
   const fleet = await startFleet({ boxCount: 58 })
-  const lost = await callsLost(fleet)
+  const lost = await countLostCalls(fleet)
   t.log(`${lost} of ${CALLS} calls lost`)
   // Two boxes must have seen it, and what is sent until all know is lost: a fifth of a second, of a fifth of the calls.
   t.true(lost <= 8)
--- a/box/runtime/test/watcherRole.ts
+++ b/box/runtime/test/watcherRole.ts
@@ -24,7 +24,7 @@
     incarnations.filter((other) => other !== incarnation).forEach((other) => view.merge(member(other), 0))
     return { incarnation, view, role: new WatcherRole({ clock, settings, view, lastMajorityContactMs: () => contact.atMs }) }
   })
-  return { clock, contact, roles, watching: () => roles.filter(({ role }) => role.holds()).map(({ incarnation }) => incarnation) }
+  return { clock, contact, roles, watching: () => roles.filter(({ role }) => role.isWatcher()).map(({ incarnation }) => incarnation) }
 }
 
 test('so many boxes of a zone watch the platform as are set, and the same ones whoever asks', (t) => {
