--- a/box/runtime/src/createAccountParts.ts
+++ b/box/runtime/src/createAccountParts.ts
@@ -61,8 +61,8 @@
 
 export function createAdmission (parts: BoxParts): Admission {
   const { clock, declarations, limiter, log, metrics, freshnessProof, settings } = parts
-  const waitForKeys = new AccessPatience({ clock, changed: (signal) => declarations.waitAbove(declarations.revision, signal) })
-  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof: freshnessProof, limiter, patience: waitForKeys, log, metrics })
+  const accessWait = new AccessPatience({ clock, changed: (signal) => declarations.waitAbove(declarations.revision, signal) })
+  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof: freshnessProof, limiter, patience: accessWait, log, metrics })
 }
 
 function planOf (parts: BoxParts, account: string, share: number): BucketPlan | undefined {
--- a/box/runtime/src/createBox.ts
+++ b/box/runtime/src/createBox.ts
@@ -16,7 +16,7 @@
 import { createPlatformContact, createDeclarations, createFleet, createFleetList, createFollowers, createWatcherRole } from './createConfigParts.js'
 import { createPermitBuckets, createPermitLimiter, createPermits, createRetryTimes } from './createLimitParts.js'
 import { createPlacer } from './createPlacer.js'
-import { createBrokenRuns, createOwner, createQuarantine, createRecords, createRelay, createReportBroadcast, createRunGossip, recordLifeMs } from './createRequestParts.js'
+import { createBrokenRuns, createOwner, createQuarantine, createRecords, createRelay, createReportBroadcast, createRunGossip, recordTtlMs } from './createRequestParts.js'
 import { createBackoffs, createSignalObserver, createUpstreamStateGossip, createUpstreamStates } from './createSignalParts.js'
 import { generateIncarnation } from './generateIncarnation.js'
 import { FailureLog } from './failureLog.js'
@@ -103,7 +103,7 @@
     leaving: false,
     room: box.room,
   }
-  return new MembershipView({ self, goneMemoryMs: recordLifeMs(requests) })
+  return new MembershipView({ self, goneMemoryMs: recordTtlMs(requests) })
 }
 
 function createProber (parts: BoxParts): Prober {
--- a/box/runtime/src/createLimitParts.ts
+++ b/box/runtime/src/createLimitParts.ts
@@ -42,7 +42,7 @@
   return { type: MessageType.UpstreamTaken, waitMs: permitBuckets.take(upstream, cost) }
 }
 
-function permitBucketOf (upstreamStates: UpstreamStates, upstream: string, share: number, firstLevel: number) {
+function permitBucketOf (upstreamStates: UpstreamStates, upstream: string, share: number, initialLevel: number) {
   const perSecond = upstreamStates.perSecond(upstream)
-  return perSecond === undefined ? undefined : permitBucket(perSecond, share, firstLevel)
+  return perSecond === undefined ? undefined : permitBucket(perSecond, share, initialLevel)
 }
--- a/box/runtime/src/createRequestParts.ts
+++ b/box/runtime/src/createRequestParts.ts
@@ -12,11 +12,11 @@
 const REPORT_TIMEOUT_MS = 300
 
 export function createRecords ({ clock, settings }: BoxParts): RecordStore {
-  return new RecordStore({ clock, maxBytes: settings.requests.recordBytes, recordLifeMs: recordLifeMs(settings.requests) })
+  return new RecordStore({ clock, maxBytes: settings.requests.recordBytes, recordLifeMs: recordTtlMs(settings.requests) })
 }
 
 /** Records are kept longer than any key that can still refer to them is valid. */
-export function recordLifeMs ({ prefixLifeMs, longestRequestMs }: BoxParts['settings']['requests']): number {
+export function recordTtlMs ({ prefixLifeMs, longestRequestMs }: BoxParts['settings']['requests']): number {
   return prefixLifeMs + 2 * longestRequestMs
 }
 
--- a/box/runtime/test/__utils__/crashingRequests.ts
+++ b/box/runtime/test/__utils__/crashingRequests.ts
@@ -4,7 +4,7 @@
 import { type BoxPlace, tuulDeclarations, type UpstreamPlace } from '@reelspan/utils.fakes'
 
 export const HOST = 'drafts.example'
-/** As on the users' platform. */
+/** Settings of the production platform. */
 const SETTINGS = {
   platform: { watchWaitMs: 2000, longestBackoffMs: 700, watchersPerAvailabilityZone: 4, backstopPollMs: 40_000 },
   membership: { probePeriodMs: 700, probeTimeoutMs: 300 },
@@ -14,9 +14,9 @@
 export const PREFILL_ENGINES = numberedNames('prefill', 4)
 export const DECODE_ENGINES = numberedNames('decode', 14)
 export const SERVICES = numberedNames('desk', 5)
-/** Boxes have heard of what happened this long ago, as the users count it. */
+/** All boxes must know of an event after this time. */
 export const PROPAGATION_MS = 3000
-/** Attempts under which upstreams may end after that. */
+/** Attempts that may still reach upstreams after that. */
 export const MAX_LATE_ATTEMPTS = 3
 
 const ROUTES = [
@@ -43,7 +43,10 @@
   }
 }
 
-/** A deployment with a stream that may go on elsewhere, one that may not, and a repeatable call; targets that contain `ends` end the upstreams that run them. */
+/**
+ * Starts a fleet with routes for a resumable stream, a stream that is not resumable, a call that is not repeatable and a
+ * repeatable call. Targets that contain `ends` crash the upstreams that run them.
+ */
 export async function startFleet ({ seed = 1, boxCount = 8 } = {}): Promise<FakeFleet> {
   const fleet = new FakeFleet({ seed, deployment: deploymentOf(boxCount), declarations: [...tuulDeclarations(), ...ROUTES], settings: SETTINGS })
   fleet.relayed.endsUpstream = ({ target }) => target.includes('ends')
@@ -57,11 +60,11 @@
   times: number
   everyMs: number
   callerAddress?: string
-  /** Boxes that the caller may use; all without. */
+  /** Boxes that the caller may use; by default all live ones. */
   boxes?: readonly string[]
 }
 
-/** A caller sends the same request again and again, each time under a new id at a box of its choice. */
+/** Repeats a request from one caller, each time under a new id and at a random box. */
 export async function repeatRequest (fleet: FakeFleet, { target, times, everyMs, callerAddress = '10.9.0.1', boxes }: RepeatRequestOptions): Promise<KeepingCaller[]> {
   const callers: KeepingCaller[] = []
   for (let i = 0; i < times; i++) {
@@ -73,7 +76,7 @@
   return callers
 }
 
-/** Attempts at a target that reached upstreams though boxes could have known that it had ended three. */
+/** Ids of the attempts that reached upstreams although all boxes must have known that the target had crashed three of them. */
 export function lateAttempts ({ relayed }: FakeFleet, target: string): string[] {
   const third = relayed.endedUnder.filter((ended) => ended.target === target)[2]
   if (!third) return []
--- a/box/runtime/test/__utils__/limitedUpstreams.ts
+++ b/box/runtime/test/__utils__/limitedUpstreams.ts
@@ -4,12 +4,12 @@
 
 const MS_PER_SECOND = 1000
 
-/** What an upstream that names a limit may get in any 4 s, as the users' pages say. */
+/** The documented bound on the requests that a rate-limited upstream gets in any 4 s. */
 export function ruleOf (perSecond: number): LimitRule {
   return { perSecond, burst: 0, windowMs: 4000, overage: 0.5, slack: 5 }
 }
 
-/** Upstreams name these limits from now on, and the others none. */
+/** Makes upstreams advertise these limits from now on, and all others none. */
 export function advertiseLimits ({ relayed }: FakeFleet, limits: Readonly<Record<string, number>>): void {
   relayed.signalsOf = (upstream) => {
     const perSecond = limits[upstream]
@@ -21,19 +21,19 @@
   target: string
   perSecond: number
   seconds: number
-  /** Names the requests. */
+  /** Prefix of the request ids. */
   name?: string
-  /** Boxes that callers use; all that live without. */
+  /** Boxes that callers use; by default all live ones. */
   boxes?: readonly string[]
 }
 
-/** What became of a request. */
+/** Outcome of a request. */
 export interface Outcome {
   caller: KeepingCaller
   heldMs: number
 }
 
-/** Requests at random moments and boxes. Resolves with what became of them, once all have ended. */
+/** Sends requests at random times to random boxes. Resolves with their outcomes when all have ended. */
 export async function load (fleet: FakeFleet, { target, perSecond, seconds, name = 'load', boxes }: LoadOptions): Promise<Outcome[]> {
   const { clock, random } = fleet
   const endMs = clock.nowMs() + seconds * MS_PER_SECOND
@@ -49,25 +49,25 @@
   return clock.run(Promise.all(outcomes))
 }
 
-/** What reached an upstream from a moment on. */
+/** Requests that reached an upstream since a given time. */
 export function arrivalsAt ({ relayed }: FakeFleet, upstream: string, sinceMs: number): RelayedArrival[] {
   return relayed.arrivals.filter((arrival) => arrival.upstream === upstream && arrival.atMs >= sinceMs)
 }
 
-/** A limit that an upstream named once and for all. */
+/** A limit that an upstream advertises without later changes. */
 export interface AdvertisedLimit {
   perSecond: number
   advertisedAtMs: number
-  /** Addresses of boxes that the users do not count, since they were cut off, frozen or restarted. */
-  excused?: readonly string[]
+  /** Addresses of boxes that the bound does not cover, since they were isolated, suspended or restarted. */
+  excludedAddresses?: readonly string[]
 }
 
 /**
- * The most that an upstream got in any 4 s, as a part of what it may get there, from when boxes can have
- * known its limit. Above 1 the rule is broken.
+ * The most requests that an upstream got in any 4 s, as a share of the bound, counted from when all boxes must
+ * know its limit. A value above 1 violates the bound.
  */
-export function peakUsageAt (fleet: FakeFleet, upstream: string, { perSecond, advertisedAtMs, excused = [] }: AdvertisedLimit): number {
-  const counted = arrivalsAt(fleet, upstream, advertisedAtMs + PROPAGATION_MS).filter(({ from }) => !excused.includes(from))
+export function peakUsageAt (fleet: FakeFleet, upstream: string, { perSecond, advertisedAtMs, excludedAddresses = [] }: AdvertisedLimit): number {
+  const counted = arrivalsAt(fleet, upstream, advertisedAtMs + PROPAGATION_MS).filter(({ from }) => !excludedAddresses.includes(from))
   const runs = counted.map(({ atMs }) => ({ atMs, cost: 1 }))
   return fullestWindow(runs, ruleOf(perSecond))
 }
--- a/box/runtime/test/__utils__/signallingUpstreams.ts
+++ b/box/runtime/test/__utils__/signallingUpstreams.ts
@@ -1,16 +1,16 @@
 import { type FakeFleet } from '@reelspan/utils.fake-fleet'
 import { type RelayedArrival } from '@reelspan/utils.fakes'
 
-/** From so long after a box passed on a response that advertises draining, nothing reaches the upstream from that box. */
+/** Time after a response that advertises draining until the box that got it must send nothing more to the upstream. */
 export const DRAIN_MS = 2000
-/** Requests that cross a refusal on the way are not counted for this long. */
+/** Requests that may already be in flight when a refusal arrives; they are not counted for this long. */
 export const IN_FLIGHT_MS = 500
-/** A request that cannot be served is refused within this time: some calls between boxes. */
+/** A request that cannot be served is refused within this time, which allows for a few calls between boxes. */
 export const REFUSAL_BOUND_MS = 100
-/** What an upstream may get of a box in the rest of the time for which it asked for nothing. */
+/** Maximum number of requests that an upstream may get from a box during the rest of the backoff. */
 export const MAX_IN_BACKOFF = 2
 
-/** When upstreams advertised something to boxes: first and every time, by upstream and address of the box. */
+/** All times at which upstreams advertised a signal to boxes, by upstream and address of the box. */
 export class Advertisements {
   readonly #atMs = new Map<string, number[]>()
 
@@ -28,7 +28,7 @@
   }
 }
 
-/** Upstreams advertise in every response that they are draining, from now on. The fleet list goes on without it. */
+/** Makes upstreams advertise draining in every response from now on. The fleet list does not show it. */
 export function drain ({ relayed, clock }: FakeFleet, upstreams: readonly string[]): Advertisements {
   const advertised = new Advertisements()
   relayed.signalsOf = (upstream, box) => {
@@ -39,20 +39,20 @@
   return advertised
 }
 
-/** What reached draining upstreams from boxes that had been told long enough before. */
+/** Requests that reached draining upstreams from boxes that must already have known it. */
 export function arrivalsAfterDrain ({ relayed }: FakeFleet, advertised: Advertisements): RelayedArrival[] {
   return relayed.arrivals.filter((arrival) => advertised.all(arrival).some((atMs) => arrival.atMs > atMs + DRAIN_MS))
 }
 
 export interface BackoffOptions {
   durationMs: number
-  /** Upstreams refuse until then; for good without it. */
+  /** Upstreams refuse until then; by default for the whole test. */
   untilMs?: number
-  /** Only these boxes are refused; all without it. */
+  /** Boxes that are refused; by default all. */
   boxes?: readonly string[]
 }
 
-/** Upstreams refuse every request with 503 and ask the box for nothing more for a time. */
+/** Makes upstreams refuse every request with 503 and a backoff. */
 export function refuseWithBackoff ({ relayed, clock }: FakeFleet, upstreams: readonly string[], { durationMs, untilMs = Number.POSITIVE_INFINITY, boxes }: BackoffOptions): Advertisements {
   const advertised = new Advertisements()
   const refuses = (upstream: string, box: string) => upstreams.includes(upstream) && clock.nowMs() < untilMs && (boxes?.includes(box) ?? true)
@@ -65,7 +65,7 @@
   return advertised
 }
 
-/** The most that one of some upstreams got of a box in a time for which it had asked that box for nothing. */
+/** The most requests that any of the upstreams got from a box during a backoff that it had asked of that box. */
 export function mostInBackoff ({ relayed }: FakeFleet, advertised: Advertisements, { upstreams, durationMs }: { upstreams: readonly string[], durationMs: number }): number {
   const arrivals = relayed.arrivals.filter(({ upstream }) => upstreams.includes(upstream))
   const counts = arrivals.flatMap((first) => advertised.all(first).map((atMs) => arrivals.filter(({ upstream, from, atMs: arrivedAtMs }) =>
--- a/box/runtime/test/accounts.ts
+++ b/box/runtime/test/accounts.ts
@@ -40,7 +40,7 @@
   fleet.platform.publish(Collection.Declarations, [accountWith(['k2'])])
 }
 
-test('a key that was taken away stops to work at every box within a second, and the others go on', async (t) => {
+test('a revoked key is refused at every box within a second, while the other keys keep working', async (t) => {
   const fleet = await startFleet()
   revokeKey(fleet)
   await fleet.clock.advance(1000)
@@ -51,7 +51,7 @@
   await fleet.stop()
 })
 
-test('boxes that the platform turns away keep their proof by their peers, and learn which keys go', async (t) => {
+test('boxes that cannot reach the platform renew their freshness proof through peers, and apply revocations', async (t) => {
   const fleet = await startFleet()
   const cutOff = fleet.boxes.slice(0, 3)
   cutOff.forEach(({ address }) => fleet.platform.silentTo.add(address))
@@ -65,7 +65,7 @@
   await fleet.stop()
 })
 
-test('a key that was taken away does not work after the bound at a box that is cut off, wherever its requests come, and other keys are refused there as not run', async (t) => {
+test('an isolated box refuses a revoked key once its freshness proof has expired, and refuses other keys as not run', async (t) => {
   const fleet = await startFleet()
   const { name, address } = fleet.boxes[0]
   fleet.cutOff(name)
@@ -80,7 +80,7 @@
   await fleet.stop()
 })
 
-test('boxes that see each other alone have no proof after the bound', async (t) => {
+test('boxes that reach only each other lose their freshness proof after the bound', async (t) => {
   const fleet = await startFleet()
   fleet.boxes.forEach(({ address }) => fleet.platform.silentTo.add(address))
   revokeKey(fleet)
@@ -92,7 +92,7 @@
   await fleet.stop()
 })
 
-test('a box that was paused does not take a key that went meanwhile', async (t) => {
+test('a box that was paused does not accept a key that was revoked meanwhile', async (t) => {
   const fleet = await startFleet()
   const { name, clock } = fleet.boxes[0]
   clock.pause()
@@ -103,19 +103,19 @@
   await fleet.stop()
 })
 
-test('a box whose machine was suspended does not take a key that went meanwhile', async (t) => {
+test('a box whose machine was suspended does not accept a key that was revoked meanwhile', async (t) => {
   const fleet = await startFleet()
   const { name, box, clock } = fleet.boxes[0]
   const suspended = clock.suspendFor(KEY_PROOF_MS + 1000)
   revokeKey(fleet)
   await fleet.clock.run(suspended)
-  // As its clock does once it sees the time of day.
+  // In production the clock watch calls this when it sees the wall clock jump.
   void box.wasSuspended(KEY_PROOF_MS + 1000)
   t.not(await refusalCode(fleet, name, 'k1'), undefined)
   await fleet.stop()
 })
 
-test('a box that starts while the platform is away has no proof, whatever configuration its peers give it', async (t) => {
+test('a box that starts during a platform outage has no freshness proof, whatever configuration it gets from peers', async (t) => {
   const fleet = await startFleet()
   fleet.boxes.forEach(({ address }) => fleet.platform.silentTo.add(address))
   await fleet.clock.advance(KEY_PROOF_MS)
@@ -126,7 +126,7 @@
   await fleet.stop()
 })
 
-test('an account is kept within its limit over all boxes, also when they all restart one after the other', async (t) => {
+test('an account stays within its limit across all boxes, even during a rolling restart', async (t) => {
   const fleet = await startFleet({}, accountWith(['k1'], true))
   const from = fleet.clock.nowMs()
   const restarts = (async () => {
--- a/box/runtime/test/changedKeys.ts
+++ b/box/runtime/test/changedKeys.ts
@@ -14,7 +14,7 @@
 addresses = ["127.0.0.1:4"]
 `
 
-test('changed settings are named by section and key', (t) => {
+test('changed settings are listed by section and key', (t) => {
   const before = parseSettings(TEXT, 'box.toml')
   t.deepEqual(changedKeys(before, parseSettings(TEXT, 'box.toml')), [])
   const after = parseSettings(`${TEXT}[membership]\nseedAddresses = ["127.0.0.1:5"]\n`, 'box.toml')
--- a/box/runtime/test/configuration.ts
+++ b/box/runtime/test/configuration.ts
@@ -21,7 +21,7 @@
   await fleet.stop()
 })
 
-test('a change that is wrong anywhere is adopted by no box, and shows in the state', async (t) => {
+test('an invalid change is adopted by no box, and is reported in the state', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.platform.publish(Collection.Declarations, [
     { kind: ResourceKind.Route, name: 'drafts', spec: { model: 'draft', ttftTargetMs: 500 } },
@@ -36,7 +36,7 @@
   await fleet.stop()
 })
 
-test('a platform that serves old data does not take a revision back', async (t) => {
+test('stale data from the platform does not revert a revision', async (t) => {
   const fleet = await new FakeFleet().start()
   publishTarget(fleet, 500)
   await fleet.clock.advance(SPREAD_MS)
@@ -58,9 +58,9 @@
   await fleet.stop()
 })
 
-test('boxes that the platform cannot reach hear of a change from their peers', async (t) => {
+test('boxes that get stale data from the platform receive a change from their peers', async (t) => {
   const fleet = await new FakeFleet().start()
-  // Each reader but one gets old data: only that one can pass the change on.
+  // All readers but one get stale data, so only that one can forward the change.
   const revision = publishTarget(fleet, 500)
   fleet.platform.staleMs = 30_000
   fleet.platform.publish(Collection.Declarations, [])
@@ -72,7 +72,7 @@
   await fleet.stop()
 })
 
-test('a change published during an outage is in force within seconds of its end, at few reads a second', async (t) => {
+test('a change published during an outage is in force within seconds after its end, with few reads per second', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.platform.outage = true
   publishTarget(fleet, 500)
@@ -87,7 +87,7 @@
   await fleet.stop()
 })
 
-test('the revision at a box never falls while operators publish and the platform flickers', async (t) => {
+test('the revision at a box never decreases while operators publish and the platform fails intermittently', async (t) => {
   const fleet = await new FakeFleet({ seed: 7 }).start()
   const seen = new Map(fleet.boxes.map(({ name }) => [name, 0]))
   for (let step = 0; step < 40; step++) {
--- a/box/runtime/test/connectionShares.ts
+++ b/box/runtime/test/connectionShares.ts
@@ -3,7 +3,7 @@
 import { checkResources, PoolRole } from '@reelspan/config.resources'
 import test from 'ava'
 
-test('the connections that an upstream takes of all boxes are shared in equal parts, and each has at least one', (t) => {
+test('the maximum of connections to an upstream is divided evenly among the boxes, and each gets at least one', (t) => {
   const { configuration } = checkResources([
     { kind: 'Pool', name: 'desk', revision: 1, spec: { role: PoolRole.Service, maxConnections: 110 } },
     { kind: 'Pool', name: 'open', revision: 1, spec: { role: PoolRole.Service } },
--- a/box/runtime/test/crashingRequest.ts
+++ b/box/runtime/test/crashingRequest.ts
@@ -1,10 +1,7 @@
-// Users saw streams cut, and engines go down one after the other: a caller sent the same
-// draft again and again, under a new id each time and most often to another box; each time an engine read
-// its prompt, another began to run it and its process ended some 60 ms later, and whatever else ran there
-// was cut with it. Twelve engines ended within eleven seconds. Each box and the scheduler held the engine for
-// the cause and left it aside for a second; nobody noted whose request it had been, so that each attempt was
-// placed like a first one. The evidence: the hash of the prompt stood in the lines of all twelve ends, with
-// `attempt=1` each time, and in no other stream's line twice.
+// Guards against a request that crashes one engine after the other. A caller repeats the same prompt under a new id
+// each time, mostly at other boxes; about 60 ms after decoding starts, the engine's process exits and interrupts all
+// its other streams. Twelve engines exited within eleven seconds: boxes and scheduler blamed the engine and avoided it
+// for a second, but nothing tracked the request, so each repetition was placed as a new one with `attempt=1`.
 import { ErrorCode, Verdict } from '@reelspan/core.error'
 import { QUARANTINE_MS } from '@reelspan/request.quarantine'
 import { FakeFleet, type KeepingCaller } from '@reelspan/utils.fake-fleet'
@@ -14,12 +11,12 @@
 const SEEDS = [1, 2, 3]
 const CRASHING = { times: 20, everyMs: 900 }
 
-/** How many upstreams have ended under a target. */
+/** Number of upstreams that exited while they ran a target. */
 function countEnded ({ relayed }: FakeFleet, target: string): number {
   return relayed.endedUnder.filter((ended) => ended.target === target).length
 }
 
-test('a stream that has ended three engines is not sent to engines any more, at whichever box it comes again', async (t) => {
+test('a stream that has crashed three engines is no longer sent to engines, whichever box receives it', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet({ seed })
     await repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
@@ -29,7 +26,7 @@
   }
 })
 
-test('a call that has ended three upstreams is not sent to upstreams any more', async (t) => {
+test('a call that has crashed three upstreams is no longer sent to upstreams', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet({ seed })
     await repeatRequest(fleet, { ...CRASHING, target: '/status/ends' })
@@ -39,7 +36,7 @@
   }
 })
 
-test('requests that are sent while another one ends engines are served at last', async (t) => {
+test('other requests are served while one request crashes engines', async (t) => {
   const fleet = await startFleet()
   const crashing = repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
   for (let i = 0; i < 60; i++) {
@@ -52,17 +49,17 @@
   await fleet.stop()
 })
 
-/** Attempts of a target that were refused since it ends upstreams. */
+/** Callers refused because their request is quarantined. */
 function quarantinedCallers (callers: readonly KeepingCaller[]): KeepingCaller[] {
   return callers.filter(({ refused }) => refused?.code === ErrorCode.RequestQuarantined)
 }
 
-/** Boxes that believe of some request that it ends upstreams. */
+/** Names of the live boxes that hold a request in quarantine. */
 function boxesWithQuarantine ({ boxes }: FakeFleet): string[] {
   return boxes.filter(({ alive, box }) => alive && box.describe().quarantine.requests > 0).map(({ name }) => name)
 }
 
-test('a request that ends upstreams is refused at once, as one that has not run, with the time for which it is not run', async (t) => {
+test('a request that crashes upstreams is refused immediately as not run, with the remaining quarantine as retry delay', async (t) => {
   const fleet = await startFleet()
   const callers = await repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
   const refused = quarantinedCallers(callers)
@@ -74,7 +71,7 @@
   await fleet.stop()
 })
 
-test('a stream that goes on elsewhere does not end one engine after the other', async (t) => {
+test('a resumable stream does not crash one engine after the other', async (t) => {
   const fleet = await startFleet()
   await repeatRequest(fleet, { ...CRASHING, target: '/reply/ends' })
   t.true(countEnded(fleet, '/reply/ends') >= 3)
@@ -82,7 +79,7 @@
   await fleet.stop()
 })
 
-test('requests of the own interface that end engines are not sent to engines any more', async (t) => {
+test('completion requests that crash engines are no longer sent to engines', async (t) => {
   const ended: number[] = []
   const onRun = (engine: string, prompt: string) => {
     if (!prompt.includes('ends')) return
@@ -102,7 +99,7 @@
   await fleet.stop()
 })
 
-test('of 195 boxes each knows soon what a request has ended at some of them', async (t) => {
+test('all of 195 boxes soon quarantine a request that crashed upstreams at some of them', async (t) => {
   const fleet = await startFleet({ boxCount: 195 })
   await repeatRequest(fleet, { target: '/draft/ends', times: 3, everyMs: 900 })
   await fleet.clock.advance(1000)
@@ -113,7 +110,7 @@
   await fleet.stop()
 })
 
-test('boxes that were cut off, or start with nothing, hear what a request has ended, soon after they reach another box', async (t) => {
+test('boxes that were isolated or have restarted learn of a quarantine soon after they reach another box', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet({ seed })
     const cutOff = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a').map(({ name }) => name)
@@ -133,7 +130,7 @@
   }
 })
 
-test('news that is lost on the way comes with a heartbeat', async (t) => {
+test('updates that were lost are fetched after a heartbeat', async (t) => {
   const fleet = await startFleet()
   const [unreached, ...rest] = fleet.boxes
   const others = rest.filter(({ address }) => address !== unreached.address)
@@ -145,7 +142,7 @@
   await fleet.stop()
 })
 
-test('the same path and body of another caller is served, while it ends upstreams for one', async (t) => {
+test('a request that crashes upstreams for one caller is still served for another caller', async (t) => {
   const fleet = await startFleet()
   fleet.relayed.endsUpstream = ({ target, callerAddress }) => target.includes('ends') && callerAddress === '10.9.0.1'
   const otherCaller = repeatRequest(fleet, { target: '/status/ends', times: 40, everyMs: 450, callerAddress: '10.9.0.2' })
@@ -156,7 +153,7 @@
   await fleet.stop()
 })
 
-test('a request that runs beside one that ends engines, again and again, is not taken for the cause', async (t) => {
+test('a request that repeatedly runs beside one that crashes engines is not quarantined', async (t) => {
   const fleet = await startFleet()
   const crashing = repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
   const beside = await repeatRequest(fleet, { target: '/draft/beside', times: 60, everyMs: 300, callerAddress: '10.9.0.2' })
@@ -167,7 +164,7 @@
   await fleet.stop()
 })
 
-test('copies of a request on upstreams that end together do not make it the cause', async (t) => {
+test('a request that runs on several upstreams that exit together is not quarantined', async (t) => {
   const fleet = await startFleet()
   const running = fleet.boxes.map(({ name }, i) => fleet.relay(name, { id: `copy-${i}`, host: HOST, target: '/status/popular' }))
   await fleet.clock.advance(30)
@@ -179,7 +176,7 @@
   await fleet.stop()
 })
 
-test('a quarantine ends, and begins again at the next end', async (t) => {
+test('a quarantine ends, and starts again at the next crash', async (t) => {
   const fleet = await startFleet()
   await repeatRequest(fleet, { ...CRASHING, target: '/draft/ends' })
   const before = countEnded(fleet, '/draft/ends')
--- a/box/runtime/test/drainingUpstream.ts
+++ b/box/runtime/test/drainingUpstream.ts
@@ -17,8 +17,8 @@
   ])
 }
 
-// An upstream's word that it drains was passed on to the caller and not heeded.
-test('calls, prompts and streams reach upstreams that said in an answer that they are draining', async (t) => {
+// Guards against boxes that forward a draining signal to the caller but keep sending work to the upstream.
+test('no calls, prompts or streams reach upstreams that advertised draining in a response', async (t) => {
   const fleet = await startFleet()
   const advertised = drain(fleet, DRAINING)
   const callers = await Promise.all([load(fleet, { target: '/status/', perSecond: 40, seconds: 7 }), load(fleet, { target: '/draft/', perSecond: 15, seconds: 7, name: 'draft' })])
@@ -31,7 +31,7 @@
 })
 
 for (const boxCount of [2, 8, 60]) {
-  test(`${boxCount} boxes send nothing to an upstream that told one of them that it is draining, and no caller is refused for it`, async (t) => {
+  test(`${boxCount} boxes send nothing to an upstream that advertised draining to one of them, and refuse no caller`, async (t) => {
     const fleet = await startFleet({ boxCount })
     const advertised = drain(fleet, ['desk-1'])
     while (advertised.count === 0) await load(fleet, { target: '/status/', perSecond: 40, seconds: 0.5, name: `first-${fleet.clock.nowMs()}` })
@@ -44,7 +44,7 @@
   })
 }
 
-test('a box that starts again, or was cut off, hears of a draining upstream from the others', async (t) => {
+test('a box that restarted or was isolated learns of a draining upstream from the others', async (t) => {
   const fleet = await startFleet()
   fleet.cutOff('box-2')
   drain(fleet, ['desk-1'])
@@ -59,7 +59,7 @@
   await fleet.stop()
 })
 
-test('streams that run at an engine when it says that it is draining are let end', async (t) => {
+test('streams that run on an engine when it starts draining may finish', async (t) => {
   const fleet = await startFleet()
   const running = load(fleet, { target: '/draft/', perSecond: 15, seconds: 1, name: 'before' })
   drain(fleet, DECODE_ENGINES.slice(1))
@@ -69,7 +69,7 @@
 })
 
 for (const [target, upstreams] of [['/status/', SERVICES], ['/draft/', [...PREFILL_ENGINES, ...DECODE_ENGINES]]] as const) {
-  test(`requests to ${target} are refused at once, unrun and with a time to return, where all upstreams are draining`, async (t) => {
+  test(`requests to ${target} are refused immediately, as not run and with a retry delay, if all upstreams are draining`, async (t) => {
     const fleet = await startFleet()
     drain(fleet, upstreams)
     await load(fleet, { target, perSecond: 60, seconds: 8, name: 'first' })
@@ -85,7 +85,7 @@
   })
 }
 
-test('a draining upstream gets nothing while the list goes on showing it as ready, and its next start is used', async (t) => {
+test('a draining upstream gets nothing while the fleet list still shows it as ready, and gets work after its next start', async (t) => {
   const fleet = await startFleet()
   const advertised = drain(fleet, ['desk-1'])
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 4, name: 'first' })
@@ -99,7 +99,7 @@
   await fleet.stop()
 })
 
-test('an engine that says only in its reports that it is draining gets nothing more, and one of another start is not meant', async (t) => {
+test('an engine that advertises draining only in its reports gets nothing more; a signal of another start is ignored', async (t) => {
   const fleet = await startFleet()
   const { box } = fleet.schedulerBox()
   const signals = { succeeded: false, draining: { draining: true, text: 'draining' } }
--- a/box/runtime/test/failedCalls.ts
+++ b/box/runtime/test/failedCalls.ts
@@ -7,7 +7,7 @@
   return log.entries.filter((entry) => entry.event === event).map(({ fields }) => fields ?? {})
 }
 
-test('an engine that gives its scheduler no report is told of in the log, with a reason and within bounds', async (t) => {
+test('an engine that sends its scheduler no report is logged, with a reason and at a limited rate', async (t) => {
   const fleet = await new FakeFleet().start()
   const scheduler = fleet.schedulerBox()
   const engine = [...fleet.engines.values()][0].name
@@ -21,11 +21,11 @@
   await fleet.stop()
 })
 
-test('a pull from a peer that fails is told of in the log, with a reason', async (t) => {
+test('a failed pull from a peer is logged with a reason', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.platform.publish(Collection.Declarations, [])
   await fleet.clock.advance(50)
-  // The others have the new revision from the platform, or have heard of it; none can be asked for it now.
+  // The others have the new revision or know of it from heartbeats; it can no longer be pulled from any peer.
   fleet.boxes.forEach(({ address }, i) => fleet.boxes.slice(i + 1).forEach((other) => fleet.network.cutBoth(address, other.address)))
   await fleet.clock.advance(3000)
   const pulls = fleet.boxes.flatMap((box) => logFieldsOf(box, LogEvent.PeerCallFailed)).filter(({ call }) => call === MessageType.ConfigPull)
@@ -34,7 +34,7 @@
   await fleet.stop()
 })
 
-test('a fleet without faults tells of no failed call', async (t) => {
+test('a fleet without faults logs no failed call', async (t) => {
   const fleet = await new FakeFleet().start()
   await fleet.clock.run(fleet.send('box-1', fleet.completion('box-1', 'once upon a time')))
   await fleet.clock.advance(30_000)
@@ -42,7 +42,7 @@
   await fleet.stop()
 })
 
-test('a fleet under faults tells of no task that failed by a fault of the program', async (t) => {
+test('a fleet under injected faults logs no failed task', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.kill('box-2')
   fleet.cutOff('box-3')
--- a/box/runtime/test/failureLog.ts
+++ b/box/runtime/test/failureLog.ts
@@ -14,7 +14,7 @@
   return { clock, log, metrics, failures: new FailureLog({ clock, log, metrics }) }
 }
 
-test('a call that fails again and again is told of at once and then once a minute, with how often it failed since', async (t) => {
+test('a repeated failure is logged immediately and then once a minute, with the number of failures since', async (t) => {
   const { clock, log, metrics, failures } = createFailureLog()
   const fail = () => failures.recordCall({ event: LogEvent.EngineCallFailed, call: 'report', target: { address: '10.1.0.1:80' } }, new Error('reset'))
   fail()
@@ -27,7 +27,7 @@
   t.true(metrics.exposition().includes('reelspan_calls_failed_total{event="engineCallFailed",call="report"} 4'))
 })
 
-test('failures of many targets at once are told of in few lines, and all are counted', async (t) => {
+test('simultaneous failures of many targets are logged in few lines, and all are counted', async (t) => {
   const { clock, log, metrics, failures } = createFailureLog()
   const failAll = () => Array.from({ length: 3000 }, (_, i) => failures.recordCall({ event: LogEvent.PeerCallFailed, call: 'heartbeat', target: { address: `10.0.0.${i}:1` } }, 'cut'))
   failAll()
@@ -39,7 +39,7 @@
   t.true(metrics.exposition().includes('reelspan_calls_failed_total{event="peerCallFailed",call="heartbeat"} 6000'))
 })
 
-test('a task that fails by a fault of the program is told of with the place in the code', (t) => {
+test('an unexpected failure of a task is logged with its location in the code', (t) => {
   const { log, metrics, failures } = createFailureLog()
   failures.recordTask('prober', new TypeError('x is not a function'))
   t.is(log.entries[0].event, LogEvent.TaskFailed)
--- a/box/runtime/test/fleetChangeLogger.ts
+++ b/box/runtime/test/fleetChangeLogger.ts
@@ -23,7 +23,7 @@
   return { log, guard, list }
 }
 
-test('the log tells which upstreams came, leave and went, and by which revision', (t) => {
+test('logs which upstreams were added, are draining and were removed, with the revision', (t) => {
   const { log, list } = createChanges()
   t.like(list(upstream('1'), upstream('2')), { revision: 1, takingWork: ['1', '2'], leaving: [], gone: [] })
   t.like(list(upstream('1', true), upstream('2')), { revision: 2, takingWork: [], leaving: ['1'], gone: [], platformSilentMs: 1235 })
@@ -31,7 +31,7 @@
   t.deepEqual(log.entries.map(({ event }) => event), [LogEvent.UpstreamsChanged, LogEvent.UpstreamsChanged, LogEvent.UpstreamsChanged])
 })
 
-test('the log tells which upstreams are kept though they are not listed, and when they are dropped', (t) => {
+test('logs which upstreams are kept although not listed, and when they are dropped', (t) => {
   const { guard, list } = createChanges()
   list(upstream('1'), upstream('2'))
   guard.lapsed = true
@@ -40,7 +40,7 @@
   t.like(list(upstream('2')), { kept: [], gone: ['1'] })
 })
 
-test('a revision that changes no upstream is no line', (t) => {
+test('logs nothing for a revision that changes no upstream', (t) => {
   const { log, list } = createChanges()
   list(upstream('1'))
   list(upstream('1'))
--- a/box/runtime/test/holds.ts
+++ b/box/runtime/test/holds.ts
@@ -25,7 +25,7 @@
   t.deepEqual(fleet.holds(), [])
 }
 
-test('a cancel frees the engine at once', async (t) => {
+test('a cancellation releases the engine immediately', async (t) => {
   const fleet = await new FakeFleet().start()
   const { request, answer } = await startLong(fleet, 'box-1')
   void fleet.box('box-4').box.cancel(request.key)
@@ -35,7 +35,7 @@
   await fleet.stop()
 })
 
-test('a caller that goes away frees the engine after the time to rejoin', async (t) => {
+test('the engine is released if a caller disconnects and does not rejoin in time', async (t) => {
   const fleet = await new FakeFleet().start()
   const gone = new AbortController()
   await startLong(fleet, 'box-1', gone.signal)
@@ -44,7 +44,7 @@
   await fleet.stop()
 })
 
-test('what a killed owner held is freed within four seconds', async (t) => {
+test('holds of a killed owner are released within four seconds', async (t) => {
   const fleet = await new FakeFleet().start()
   const owner = otherBox(fleet)
   await startLong(fleet, owner)
@@ -54,7 +54,7 @@
   await fleet.stop()
 })
 
-test('what an owner held that never comes back is freed after the longest duration of its label', async (t) => {
+test('holds of an owner that stays isolated are released after the maximum duration in their label', async (t) => {
   const fleet = await new FakeFleet().start()
   const owner = otherBox(fleet)
   const request = fleet.completion(owner, LONG_PROMPT, { maxTokens: 5000, deadlineMs: 8000 })
@@ -65,7 +65,7 @@
   await fleet.stop()
 })
 
-test('what a killed owner held is freed within four seconds without a replacement too', async (t) => {
+test('holds of a killed owner without a replacement are released within four seconds', async (t) => {
   const fleet = await new FakeFleet().start()
   const owner = otherBox(fleet)
   await startLong(fleet, owner)
@@ -74,7 +74,7 @@
   await fleet.stop()
 })
 
-test('a stalled transfer is given up and both engines are freed', async (t) => {
+test('a stalled transfer is aborted and both engines are released', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.engines.forEach((engine) => { engine.faults.stallTransfers = true })
   const { answer } = await startLong(fleet, 'box-1')
@@ -86,7 +86,7 @@
   await fleet.stop()
 })
 
-test('a killed scheduler leaves nothing held for requests that are gone', async (t) => {
+test('no holds of lost requests remain after a scheduler is killed', async (t) => {
   const fleet = await new FakeFleet().start()
   const owner = otherBox(fleet)
   await startLong(fleet, owner)
@@ -97,7 +97,7 @@
   await fleet.stop()
 })
 
-test('an owner that is cut off from its engine has its hold freed by the scheduler', async (t) => {
+test('the scheduler releases the hold of an owner that cannot reach its engine', async (t) => {
   const fleet = await new FakeFleet().start()
   const owner = otherBox(fleet)
   const { request } = await startLong(fleet, owner)
@@ -108,7 +108,7 @@
   await fleet.stop()
 })
 
-test('a hold of a request that still runs is left alone', async (t) => {
+test('the hold of a running request is not released', async (t) => {
   const fleet = await new FakeFleet().start()
   const { answer } = await startLong(fleet, otherBox(fleet))
   const outcome = await fleet.clock.run(answer)
--- a/box/runtime/test/leaving.ts
+++ b/box/runtime/test/leaving.ts
@@ -12,7 +12,7 @@
   fleet.platform.publish(Collection.Fleet, [{ kind: FleetEntryKind.Upstream, name, spec }])
 }
 
-test('a leaving service gets no new calls after a few seconds', async (t) => {
+test('a draining service gets no new calls after a few seconds', async (t) => {
   const fleet = await new FakeFleet().start()
   announceLeaving(fleet, 'desk-1', UpstreamKind.Service, 'script-desk')
   await fleet.clock.advance(PROPAGATION_MS)
@@ -23,7 +23,7 @@
   await fleet.stop()
 })
 
-test('a leaving engine gets no new work after a few seconds, and what runs there ends well', async (t) => {
+test('a draining engine gets no new work after a few seconds, and its running requests finish', async (t) => {
   const fleet = await new FakeFleet().start()
   const prompt = promptFor('before', { answerTokens: 200 })
   const running = fleet.send('box-1', fleet.completion('box-1', prompt, { maxTokens: 200 }))
@@ -39,7 +39,7 @@
   await fleet.stop()
 })
 
-test('an engine that leaves while the prompt is read elsewhere gets nothing to decode', async (t) => {
+test('a decode engine that starts draining during the prefill is not used', async (t) => {
   const fleet = await new FakeFleet({ engine: { prefillBaseMs: 2000 } }).start()
   const prompt = promptFor('leaves', { answerTokens: 20 })
   const running = fleet.send('box-1', fleet.completion('box-1', prompt, { maxTokens: 20, ttftTargetMs: 5000 }))
@@ -51,7 +51,7 @@
   await fleet.stop()
 })
 
-test('a planned stop cuts off no request and leaves its records with another box', async (t) => {
+test('a planned stop interrupts no request and hands its records over to another box', async (t) => {
   const fleet = await new FakeFleet().start()
   const prompt = promptFor('stop', { answerTokens: 150 })
   const request = fleet.completion('box-1', prompt, { maxTokens: 150 })
@@ -71,7 +71,7 @@
   await fleet.stop()
 })
 
-test('a planned stop waits for an answer that outlasts the lookup answers', async (t) => {
+test('a planned stop waits for an answer that takes longer than lookup answers are cached', async (t) => {
   const fleet = await new FakeFleet().start()
   const prompt = promptFor('long', { answerTokens: 600 })
   const running = fleet.send('box-1', fleet.completion('box-1', prompt, { maxTokens: 600 }))
@@ -85,7 +85,7 @@
   await fleet.stop()
 })
 
-test('a key of a stopped box that was never used is known not to have run', async (t) => {
+test('an unused key of a stopped box is answered as not run', async (t) => {
   const fleet = await new FakeFleet().start()
   const key = fleet.key('box-1')
   await fleet.clock.run(fleet.box('box-1').box.drain())
@@ -97,7 +97,7 @@
   await fleet.stop()
 })
 
-test('records go on from successor to successor', async (t) => {
+test('records are handed over from successor to successor', async (t) => {
   const fleet = await new FakeFleet().start()
   const booking = fleet.booking(fleet.key('box-1'))
   const booked = await fleet.clock.run(fleet.send('box-2', booking))
@@ -113,7 +113,7 @@
   await fleet.stop()
 })
 
-test('lookups stop naming a box that is about to stop, and it gives out no keys of its own', async (t) => {
+test('lookups do not return a stopping box, and it issues no keys of its own', async (t) => {
   const fleet = await new FakeFleet().start()
   const stopped = fleet.box('box-1').box.drain()
   await fleet.clock.advance(1000)
@@ -125,7 +125,7 @@
   await fleet.stop()
 })
 
-test('a caller that keeps a lookup answer is served by a box that is about to stop', async (t) => {
+test('a stopping box serves a caller that uses a cached lookup answer', async (t) => {
   const fleet = await new FakeFleet().start()
   const key = fleet.key('box-1')
   const stopped = fleet.box('box-1').box.drain()
@@ -136,7 +136,7 @@
   await fleet.stop()
 })
 
-test('a box that is about to be ended by force takes as owner only what ends before by its deadline', async (t) => {
+test('a box with a stop deadline accepts as owner only requests whose own deadline is earlier', async (t) => {
   const fleet = await new FakeFleet({ settings: { requests: { stopWithinMs: 8000 } } }).start()
   const keys = { long: fleet.key('box-1'), short: fleet.key('box-1') }
   const stopped = fleet.box('box-1').box.drain()
--- a/box/runtime/test/membership.ts
+++ b/box/runtime/test/membership.ts
@@ -12,7 +12,7 @@
   return fleet.boxes.reduce((sum, { log }) => sum + log.count(LogEvent.IncarnationRenewed), 0)
 }
 
-test('every box knows within three seconds that another one does not answer', async (t) => {
+test('every box suspects an unresponsive box within three seconds', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.cutOff('box-3')
   await fleet.clock.advance(3000)
@@ -20,7 +20,7 @@
   await fleet.stop()
 })
 
-test('every box knows within three seconds that another one\'s process is gone', async (t) => {
+test('every box knows within three seconds that the process of another box has exited', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.kill('box-3')
   await fleet.clock.advance(3000)
@@ -28,7 +28,7 @@
   await fleet.stop()
 })
 
-test('a box that was asleep for ten seconds goes on as the same process', async (t) => {
+test('a box that was paused for ten seconds keeps its incarnation', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.box('box-3').clock.pause()
   await fleet.clock.advance(10_000)
@@ -40,7 +40,7 @@
   await fleet.stop()
 })
 
-test('a cut between availability zones for minutes makes no box give up what it is', async (t) => {
+test('a network partition of minutes between availability zones renews no incarnation', async (t) => {
   const fleet = await new FakeFleet().start()
   const zoneA = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a')
   const rest = fleet.boxes.filter(({ availabilityZone }) => availabilityZone !== 'hall-a')
@@ -54,7 +54,7 @@
   await fleet.stop()
 })
 
-test('a one-way cut between two boxes is seen through with the help of others', async (t) => {
+test('a one-way cut between two boxes is worked around by indirect probes', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.network.cut(fleet.address('box-1'), fleet.address('box-2'))
   await fleet.clock.advance(10_000)
@@ -62,7 +62,7 @@
   await fleet.stop()
 })
 
-test('a box that one other cannot reach is not even suspected', async (t) => {
+test('a box that only one other cannot reach is not suspected', async (t) => {
   const others = ['box-2', 'box-3', 'box-4', 'box-5', 'box-6', 'box-7', 'box-8']
   for (const name of others) {
     const fleet = await new FakeFleet().start()
--- a/box/runtime/test/metrics.ts
+++ b/box/runtime/test/metrics.ts
@@ -2,7 +2,7 @@
 import { type FakeBox, FakeFleet } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
 
-/** Values of a metric by its labels, as the box's metrics address tells them. */
+/** Values of a metric by label set, as the metrics endpoint of a box exposes them. */
 function valuesOf ({ box }: FakeBox, name: string): Record<string, number> {
   const lines = box.metricsText().split('\n').filter((line) => line.startsWith(`${name}{`) || line.startsWith(`${name} `))
   return Object.fromEntries(lines.map((line) => [line.slice(name.length, line.lastIndexOf(' ')), Number(line.slice(line.lastIndexOf(' ')))]))
@@ -12,7 +12,7 @@
   return valuesOf(box, 'reelspan_belief_age_ms')[`{belief="${state}"}`]
 }
 
-test('the ages of what a box believes are among its metrics', async (t) => {
+test('the metrics contain the ages of the cached state of a box', async (t) => {
   const fleet = await new FakeFleet().start()
   const scheduler = fleet.schedulerBox()
   await fleet.clock.advance(20_000)
@@ -30,7 +30,7 @@
   await fleet.stop()
 })
 
-test('a box that schedules nothing tells no age of reports', async (t) => {
+test('a box without shards exposes no age of engine reports', async (t) => {
   const fleet = await new FakeFleet().start()
   const idle = fleet.boxes.filter(({ box }) => box.describe().shards.length === 0)
   t.true(idle.length > 0)
@@ -39,7 +39,7 @@
   await fleet.stop()
 })
 
-test('the retries that a box may still make are among its metrics', async (t) => {
+test('the metrics contain the remaining retry budget', async (t) => {
   const fleet = await new FakeFleet().start()
   t.true(valuesOf(fleet.box('box-1'), 'reelspan_retry_budget_left')['{requests="owned"}'] > 0)
   await fleet.stop()
--- a/box/runtime/test/onceOnly.ts
+++ b/box/runtime/test/onceOnly.ts
@@ -3,7 +3,7 @@
 import { expectedAnswer, promptFor } from '@reelspan/utils.fakes'
 import test from 'ava'
 
-test('a booking whose answer was lost is not sent again, and its caller is told that it may have run', async (t) => {
+test('a booking whose answer was lost is not sent again, and is answered as «may have run»', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.services.forEach((service) => { service.faults.loseAnswers = true })
   const key = fleet.key('box-1')
@@ -15,7 +15,7 @@
   await fleet.stop()
 })
 
-test('a repeatable call whose answer was lost is tried elsewhere', async (t) => {
+test('a repeatable call whose answer was lost is retried at another upstream', async (t) => {
   const fleet = await new FakeFleet().start()
   const [first] = fleet.services.values()
   first.faults.loseAnswers = true
@@ -25,7 +25,7 @@
   await fleet.stop()
 })
 
-test('an owner that dies after it sent a booking leaves its key unused by any other box', async (t) => {
+test('no other box runs a booking whose owner died after it was sent', async (t) => {
   const fleet = await new FakeFleet().start()
   const key = fleet.key('box-1')
   const first = fleet.send('box-2', fleet.booking(key))
@@ -40,7 +40,7 @@
   await fleet.stop()
 })
 
-test('a key from before a restart of the same address is not run by the new process', async (t) => {
+test('a restarted box does not run a key of its previous incarnation', async (t) => {
   const fleet = await new FakeFleet().start()
   const key = fleet.key('box-1')
   fleet.kill('box-1')
@@ -52,7 +52,7 @@
   await fleet.stop()
 })
 
-test('a key that has outlived its prefix is not run', async (t) => {
+test('a key whose prefix has expired is not run', async (t) => {
   const fleet = await new FakeFleet({ boxCount: 3 }).start()
   const key = fleet.key('box-1')
   await fleet.clock.advance(301_000)
@@ -72,7 +72,7 @@
   await fleet.stop()
 })
 
-test('messages between boxes that arrive twice do not run a booking twice', async (t) => {
+test('duplicated messages between boxes do not run a booking twice', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.network.doubledShare = 1
   const key = fleet.key('box-1')
@@ -82,7 +82,7 @@
   await fleet.stop()
 })
 
-test('a retry joins a running stream and gets it whole from the start', async (t) => {
+test('a retry joins a running stream and receives it completely from the start', async (t) => {
   const fleet = await new FakeFleet().start()
   const prompt = promptFor('join', { answerTokens: 60 })
   const request = fleet.completion('box-1', prompt)
@@ -95,7 +95,7 @@
   await fleet.stop()
 })
 
-test('a key that is used for another request is refused', async (t) => {
+test('a key that is reused for another request is refused', async (t) => {
   const fleet = await new FakeFleet({ boxCount: 3 }).start()
   const request = fleet.completion('box-1', promptFor('one', { answerTokens: 5 }))
   await fleet.clock.run(fleet.send('box-1', request))
@@ -104,7 +104,7 @@
   await fleet.stop()
 })
 
-test('a repeatable request of an owner that is gone is run by another', async (t) => {
+test('a repeatable request of an owner that is gone is run by another box', async (t) => {
   const fleet = await new FakeFleet().start()
   const prompt = promptFor('again', { answerTokens: 10 })
   const request = fleet.completion('box-1', prompt)
@@ -116,7 +116,7 @@
   await fleet.stop()
 })
 
-test('a box that slept through its own replacement starts nothing under its old keys', async (t) => {
+test('a box that was paused during its replacement runs nothing under its old keys', async (t) => {
   const fleet = await new FakeFleet().start()
   const key = fleet.key('box-1')
   const pausedBox = fleet.box('box-1')
@@ -136,7 +136,7 @@
   await fleet.stop()
 })
 
-test('a request that waits past its deadline while its box sleeps is not sent afterwards', async (t) => {
+test('a request whose deadline passes while its box is paused is not sent afterwards', async (t) => {
   const fleet = await new FakeFleet({ boxCount: 3 }).start()
   const key = fleet.key('box-1')
   const { clock } = fleet.box('box-1')
@@ -151,7 +151,7 @@
   await fleet.stop()
 })
 
-test('a box that slept does not say «not run» of a request that was taken over from it', async (t) => {
+test('a box that was paused does not answer «not run» for a request that was taken over from it', async (t) => {
   const fleet = await new FakeFleet().start()
   const prompt = promptFor('slept', { answerTokens: 10 })
   const request = fleet.completion('box-1', prompt, { deadlineMs: 6000 })
--- a/box/runtime/test/orders.ts
+++ b/box/runtime/test/orders.ts
@@ -18,7 +18,7 @@
   return versions(fleet).filter((one) => one === version).length
 }
 
-test('a rollout reaches every engine, keeps the declared number in service, and cuts nothing off', async (t) => {
+test('a rollout reaches every engine, keeps the declared number in service and interrupts nothing', async (t) => {
   const fleet = await new FakeFleet().start()
   await fleet.clock.advance(6000)
   declareRollout(fleet)
@@ -37,7 +37,7 @@
   await fleet.stop()
 })
 
-test('a paused rollout orders nothing more, and one that goes back restores the model\'s version', async (t) => {
+test('a paused rollout sends no more orders, and a rollback restores the version of the model', async (t) => {
   const fleet = await new FakeFleet().start()
   await fleet.clock.advance(6000)
   declareRollout(fleet)
@@ -54,7 +54,7 @@
   await fleet.stop()
 })
 
-test('a rollout to a part of the engines stops there', async (t) => {
+test('a partial rollout stops at the declared percentage of the engines', async (t) => {
   const fleet = await new FakeFleet().start()
   await fleet.clock.advance(6000)
   declareRollout(fleet, { enginePercent: 40 })
@@ -63,7 +63,7 @@
   await fleet.stop()
 })
 
-test('a rollout goes on under another scheduler when the first one dies', async (t) => {
+test('a rollout continues under another scheduler when the first one dies', async (t) => {
   const fleet = await new FakeFleet().start()
   await fleet.clock.advance(6000)
   declareRollout(fleet)
@@ -74,7 +74,7 @@
   await fleet.stop()
 })
 
-test('no engine gets the same order twice from two schedulers that follow each other', async (t) => {
+test('no engine gets the same order from two successive schedulers', async (t) => {
   const fleet = await new FakeFleet().start()
   await fleet.clock.advance(6000)
   declareRollout(fleet)
@@ -88,7 +88,7 @@
   await fleet.stop()
 })
 
-test('engines that ignore fencing numbers get no order from a scheduler that slept through its replacement', async (t) => {
+test('engines that ignore fencing tokens get no order from a scheduler that was paused during its replacement', async (t) => {
   const fleet = await new FakeFleet({ engine: { checksFence: false } }).start()
   await fleet.clock.advance(6000)
   const first = fleet.schedulerBox()
--- a/box/runtime/test/ownContactLost.ts
+++ b/box/runtime/test/ownContactLost.ts
@@ -3,15 +3,15 @@
 import { FakeFleet } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
 
-/** As on the users' platform. */
+/** Settings of the production platform. */
 const PLATFORM_SETTINGS = {
   platform: { watchWaitMs: 2000, longestBackoffMs: 700, watchersPerAvailabilityZone: 4, backstopPollMs: 40_000 },
   membership: { probePeriodMs: 700, probeTimeoutMs: 300 },
 }
 const SEEDS = [1, 2, 3, 4]
-/** Upstreams whose entries go get no new work after this time. */
+/** An upstream gets no new work later than this after its entry is removed. */
 const REMOVAL_BOUND_MS = 2000
-/** Within this time of its end, an absence of the platform counts no more. */
+/** An outage of the platform has no effect later than this after its end. */
 const STABLE_AFTER_MS = 3000
 
 /** Two rounds of probes. */
@@ -19,7 +19,7 @@
 
 async function startFleet (seed: number, boxCount = 8): Promise<FakeFleet> {
   const fleet = await new FakeFleet({ seed, boxCount, settings: PLATFORM_SETTINGS }).start()
-  // Where the boxes' watches stand when the fault begins differs from seed to seed.
+  // The seeds start the fault at different phases of the boxes' watches.
   await fleet.clock.advance(5000 + 530 * seed)
   return fleet
 }
@@ -28,12 +28,12 @@
   addresses.forEach((address) => fleet.platform.silentTo.add(address))
 }
 
-/** The upstream's entry goes, without a word that it leaves. */
+/** Removes an upstream's entry without a preceding draining state. */
 function removeUpstream (fleet: FakeFleet, name: string): void {
   fleet.platform.publish(Collection.Fleet, [{ kind: FleetEntryKind.Upstream, name, spec: null }])
 }
 
-/** Boxes at the given addresses that would still give the upstream work. */
+/** Names of the boxes at the given addresses that still list an upstream. */
 function boxesListing (fleet: FakeFleet, name: string, addresses: readonly string[]): string[] {
   return fleet.boxes
     .filter(({ address }) => addresses.includes(address))
@@ -41,7 +41,7 @@
     .map((box) => box.name)
 }
 
-test('boxes that the platform alone is silent to drop an upstream that vanishes, as soon as their peers tell', async (t) => {
+test('boxes that cannot reach the platform drop a removed upstream as soon as their peers report it', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet(seed)
     const cutOff = fleet.boxAddresses('hall-a')
@@ -54,7 +54,7 @@
   }
 })
 
-test('boxes that were cut off from everything drop an upstream that vanished meanwhile, as soon as they hear of it', async (t) => {
+test('boxes that were cut off from everything drop an upstream that was removed meanwhile as soon as they learn of it', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet(seed)
     const cutOff = fleet.boxAddresses('hall-a')
@@ -71,7 +71,7 @@
   }
 })
 
-test('an upstream that vanishes soon after the platform is back is not taken for one whose entry lapsed', async (t) => {
+test('an upstream that is removed soon after a platform outage is not kept as an expired entry', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet(seed, 1)
     blockPlatform(fleet, fleet.everyAddress())
@@ -85,7 +85,7 @@
   }
 })
 
-test('boxes that were cut off are members again for all soon after the cut has healed', async (t) => {
+test('all boxes see isolated boxes as members again soon after the network has healed', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet(seed)
     fleet.cutOffZone('hall-a')
--- a/box/runtime/test/platformAway.ts
+++ b/box/runtime/test/platformAway.ts
@@ -3,16 +3,16 @@
 import { FakeFleet } from '@reelspan/utils.fake-fleet'
 import test, { type ExecutionContext } from 'ava'
 
-/** As on the users' platform. */
+/** Settings of the production platform. */
 const PLATFORM_SETTINGS = {
   platform: { watchWaitMs: 2000, longestBackoffMs: 700, watchersPerAvailabilityZone: 4, backstopPollMs: 40_000 },
   membership: { probePeriodMs: 700, probeTimeoutMs: 300 },
 }
 const SEEDS = [1, 2, 3, 4]
-/** Upstreams that live have not all entered themselves again by then. */
+/** Not all live upstreams have registered again by then. */
 const SOON_AFTER_MS = 1500
 
-/** The platform answers nobody for some time; an upstream's entry has lapsed when it is back. */
+/** Checks that all boxes keep an upstream whose entry expired while the platform answered no box. */
 async function checkLapsedIsKept (t: ExecutionContext, outageMs: number): Promise<void> {
   for (const seed of SEEDS) {
     const fleet = await new FakeFleet({ seed, settings: PLATFORM_SETTINGS }).start()
@@ -28,10 +28,10 @@
   }
 }
 
-test('entries that lapsed while the platform was silent for long are kept until they can be back', async (t) => {
+test('entries that expired during a long platform outage are kept until upstreams can have registered again', async (t) => {
   await checkLapsedIsKept(t, 7000)
 })
 
-test('entries that lapsed while the platform was silent for a little longer than they live are kept until they can be back', async (t) => {
+test('entries that expired during an outage slightly longer than their TTL are kept until upstreams can have registered again', async (t) => {
   await checkLapsedIsKept(t, 4500)
 })
--- a/box/runtime/test/platformContactTracker.ts
+++ b/box/runtime/test/platformContactTracker.ts
@@ -12,7 +12,7 @@
   return { clock, log, watch: new PlatformContactWatch({ clock, log, isWatcher: () => isWatcher, lastAnswerMs: () => lastAnswerMs }) }
 }
 
-test('entries may have lapsed after a long absence of the platform, until upstreams had time to enter themselves again', async (t) => {
+test('entries may have expired after a long platform outage, until upstreams had time to register again', async (t) => {
   const { clock, watch } = createWatch()
   let calls = 0
   watch.onRegained(() => { calls++ })
@@ -27,7 +27,7 @@
   t.false(watch.mayHaveLapsed)
 })
 
-test('a short absence takes no entries away', async (t) => {
+test('a short outage expires no entries', async (t) => {
   const { clock, watch } = createWatch()
   watch.recordReachability(false, { collection: Collection.Fleet, silentMs: 100 })
   await clock.advance(500)
@@ -35,14 +35,14 @@
   t.false(watch.mayHaveLapsed)
 })
 
-test('a lost and a regained platform are told of in the log, with how long it was silent', (t) => {
+test('lost and regained contact with the platform is logged with its duration', (t) => {
   const { log, watch } = createWatch()
   watch.recordReachability(false, { collection: Collection.Declarations, silentMs: 100, reason: 'reset' })
   watch.recordReachability(true, { collection: Collection.Declarations, silentMs: 600 })
   t.deepEqual(log.entries.map(({ event, fields }) => [event, fields?.silentMs]), [[LogEvent.DependencyLost, 100], [LogEvent.DependencyRegained, 600]])
 })
 
-test('nothing lapses while the platform answers others, whatever this box reaches itself', async (t) => {
+test('no entries expire while the platform answers other boxes, even if this box cannot reach it', async (t) => {
   const { clock, watch } = createWatch({ isWatcher: false })
   watch.recordAnswer()
   watch.recordReachability(false, { collection: Collection.Fleet, silentMs: 100, reason: 'reset' })
@@ -53,7 +53,7 @@
   t.false(watch.mayHaveLapsed)
 })
 
-test('a box that asks the platform seldom hears from its peers that it is away, and that it is back', async (t) => {
+test('a box that rarely polls the platform learns from its peers that an outage has started and ended', async (t) => {
   const { clock, watch } = createWatch({ isWatcher: false })
   watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
   for (let silentMs = 700; silentMs < 5000; silentMs += 700) {
@@ -62,13 +62,13 @@
   }
   t.true(watch.mayHaveLapsed)
   watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
-  t.true(watch.mayHaveLapsed, 'upstreams enter themselves again')
+  t.true(watch.mayHaveLapsed, 'upstreams may still register again')
   await clock.advance(REENTRY_MS)
   watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
   t.false(watch.mayHaveLapsed)
 })
 
-test('a wait at the platform counts as contact until it fails', async (t) => {
+test('a pending watch counts as contact until it fails', async (t) => {
   const { clock, watch } = createWatch()
   watch.recordAnswer()
   await clock.advance(20_000)
@@ -78,7 +78,7 @@
   t.true(watch.mayHaveLapsed)
 })
 
-test('a first answer is no return', (t) => {
+test('the first answer ends no outage', (t) => {
   const { watch } = createWatch({ isWatcher: false })
   t.is(watch.sinceContactMs, undefined)
   watch.recordAnswer()
@@ -86,7 +86,7 @@
   t.false(watch.mayHaveLapsed)
 })
 
-test('a peer that kept contact shows that nothing lapsed while this box had none', async (t) => {
+test('a peer that kept contact shows that nothing expired while this box had no contact', async (t) => {
   const { clock, watch } = createWatch()
   watch.recordAnswer()
   await clock.advance(5000)
@@ -100,7 +100,7 @@
   t.deepEqual(watch.answering, { silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
 })
 
-test('the time for entries to come back counts from the first answer that anyone got', async (t) => {
+test('the time to register again starts with the first answer that any box got', async (t) => {
   const { clock, watch } = createWatch({ isWatcher: false })
   watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
   await clock.advance(8000)
@@ -112,7 +112,7 @@
   t.false(watch.mayHaveLapsed)
 })
 
-test('what a peer knew before the absence does not shorten it', async (t) => {
+test('a peer report from before the outage does not shorten the outage', async (t) => {
   const { clock, watch } = createWatch({ isWatcher: false })
   watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
   await clock.advance(8000)
@@ -122,7 +122,7 @@
   t.is(watch.sinceContactMs, 0)
 })
 
-test('a wait that fails was no contact, whatever was heard meanwhile', async (t) => {
+test('a failed watch does not count as contact, whatever peers reported meanwhile', async (t) => {
   const { clock, watch } = createWatch()
   watch.recordAnswer()
   await clock.advance(2000)
@@ -132,13 +132,13 @@
   t.is(watch.sinceContactMs, 3500)
 })
 
-test('a peer whose wait has not failed yet does not shorten an absence', async (t) => {
+test('a peer whose watch has not failed yet does not shorten an outage', async (t) => {
   const { clock, watch } = createWatch({ isWatcher: false })
   watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
   await clock.advance(2900)
   watch.receivePeerReport({ silentMs: 0, answeredMs: 2900, answeringMs: 62_900 })
-  t.false(watch.mayHaveLapsed, 'nobody has noticed an absence')
+  t.false(watch.mayHaveLapsed, 'no box has detected an outage')
   await clock.advance(2000)
   watch.recordAnswer()
-  t.true(watch.mayHaveLapsed, 'the platform answered nobody for 4.9 s')
+  t.true(watch.mayHaveLapsed, 'the platform answered no box for 4.9 s')
 })
--- a/box/runtime/test/restoredPlatform.ts
+++ b/box/runtime/test/restoredPlatform.ts
@@ -17,14 +17,14 @@
   return { kind: FleetEntryKind.Upstream, name, spec: { kind: UpstreamKind.Service, pool: 'script-desk', availabilityZone: zone, address: fleet.address(name), ...over } }
 }
 
-/** An operator's next version: another time-out of one route. */
+/** Publishes the next version of the declarations, with another timeout of one route. */
 function publishVersion (fleet: FakeFleet, deadlineMs: number): number {
   return fleet.platform.publish(Collection.Declarations, [
     { kind: ResourceKind.Route, name: 'status', spec: { host: HOST, pathPrefix: '/status/', targets: [{ pool: 'script-desk' }], maxAttempts: 2, deadlineMs, ttftTargetMs: 900 } },
   ])
 }
 
-/** Writes what the copy does not have, and takes it everywhere: desk-1 leaves, desk-2 is gone, a version of the declarations. */
+/** Writes and propagates changes that the copy lacks: desk-1 is draining, desk-2 is removed, and a new version of the declarations. */
 async function writeAfterCopy (fleet: FakeFleet): Promise<number> {
   fleet.platform.publish(Collection.Fleet, [entryOf(fleet, 'desk-1', { leaving: true })])
   fleet.platform.publish(Collection.Fleet, [{ kind: FleetEntryKind.Upstream, name: 'desk-2', spec: null }])
@@ -34,20 +34,20 @@
 }
 
 interface RestoreSteps {
-  /** While the platform is away. */
-  meanwhile?: (fleet: FakeFleet) => void
-  /** Right after it has come back. */
-  afterwards?: (fleet: FakeFleet) => Promise<void>
+  /** Runs during the outage. */
+  duringOutage?: (fleet: FakeFleet) => void
+  /** Runs right after the restore. */
+  afterRestore?: (fleet: FakeFleet) => Promise<void>
 }
 
-/** The platform is away for a moment and comes back from a copy that lacks what was written last. */
-async function restoreFromCopy (fleet: FakeFleet, copy: ReturnType<FakeFleet['platform']['copy']>, { meanwhile, afterwards }: RestoreSteps = {}): Promise<void> {
+/** Restores the platform's store, after a short outage, from a copy that lacks the latest writes. */
+async function restoreFromCopy (fleet: FakeFleet, copy: ReturnType<FakeFleet['platform']['copy']>, { duringOutage, afterRestore }: RestoreSteps = {}): Promise<void> {
   fleet.platform.outage = true
-  meanwhile?.(fleet)
+  duringOutage?.(fleet)
   await fleet.clock.advance(OUTAGE_MS)
   fleet.platform.restore(copy)
   fleet.platform.outage = false
-  await afterwards?.(fleet)
+  await afterRestore?.(fleet)
 }
 
 function versions (fleet: FakeFleet): number[] {
@@ -55,38 +55,38 @@
 }
 
 const OTHER_FAULTS: Record<string, RestoreSteps> = {
-  'nothing else': {},
+  'no other fault': {},
   'half of the boxes cut off from the platform': {
-    meanwhile: ({ boxes, platform }) => boxes.filter((_, i) => i % 2 === 0).forEach(({ address }) => platform.silentTo.add(address)),
+    duringOutage: ({ boxes, platform }) => boxes.filter((_, i) => i % 2 === 0).forEach(({ address }) => platform.silentTo.add(address)),
   },
-  'some boxes killed as it comes back, and started again': {
-    afterwards: async (fleet) => {
+  'some boxes restarted during the restore': {
+    afterRestore: async (fleet) => {
       const names = ['box-1', 'box-2', 'box-3']
       names.forEach((name) => fleet.kill(name))
       await fleet.clock.run(Promise.all(names.map((name) => fleet.startBox(name))))
     },
   },
-  'an availability zone cut off until after it': {
-    meanwhile: (fleet) => fleet.cutOffZone('hall-b'),
-    afterwards: async (fleet) => {
+  'an availability zone cut off until after the restore': {
+    duringOutage: (fleet) => fleet.cutOffZone('hall-b'),
+    afterRestore: async (fleet) => {
       await fleet.clock.advance(1000)
       fleet.network.healAll()
     },
   },
 }
 
-for (const [boxCount, fault] of [[2, 'nothing else'], [60, 'nothing else'], ...Object.keys(OTHER_FAULTS).map((name) => [8, name] as const)] as const) {
-  test(`${boxCount} boxes go back to the platform's older copy, or miss what is written after it, with ${fault}`, async (t) => {
+for (const [boxCount, fault] of [[2, 'no other fault'], [60, 'no other fault'], ...Object.keys(OTHER_FAULTS).map((name) => [8, name] as const)] as const) {
+  test(`${boxCount} boxes keep newer state when the platform is restored from an older copy, and adopt later writes, with ${fault}`, async (t) => {
     const fleet = await startFleet({ boxCount })
     const copy = fleet.platform.copy()
     const version = await writeAfterCopy(fleet)
     t.deepEqual(versions(fleet), [version])
     await restoreFromCopy(fleet, copy, OTHER_FAULTS[fault])
     const restoredAtMs = fleet.clock.nowMs()
-    const live = fleet.liveBoxes().map(({ name }) => name).filter((name) => !['box-1', 'box-2', 'box-3'].includes(name) || fault !== 'some boxes killed as it comes back, and started again')
+    const live = fleet.liveBoxes().map(({ name }) => name).filter((name) => !['box-1', 'box-2', 'box-3'].includes(name) || fault !== 'some boxes restarted during the restore')
     const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: ENTRY_LIFE_MS / 1000, boxes: live, name: 'copy' })
-    t.deepEqual(arrivalsAt(fleet, 'desk-1', restoredAtMs), [], 'what had said that it leaves')
-    t.deepEqual(arrivalsAt(fleet, 'desk-2', restoredAtMs), [], 'what was gone')
+    t.deepEqual(arrivalsAt(fleet, 'desk-1', restoredAtMs), [], 'draining before the restore')
+    t.deepEqual(arrivalsAt(fleet, 'desk-2', restoredAtMs), [], 'removed before the restore')
     t.deepEqual(versions(fleet), [version])
     t.true(outcomes.every(({ caller }) => caller.whole))
 
@@ -103,16 +103,16 @@
   })
 }
 
-test('two returns close together, to copies of different age, are taken for one', async (t) => {
+test('boxes keep newer state after two restores in short succession, from copies of different age', async (t) => {
   const fleet = await startFleet()
-  const older = fleet.platform.copy()
+  const olderCopy = fleet.platform.copy()
   fleet.platform.publish(Collection.Fleet, [entryOf(fleet, 'desk-4', { leaving: true })])
   await fleet.clock.advance(500)
-  const newer = fleet.platform.copy()
+  const newerCopy = fleet.platform.copy()
   const version = await writeAfterCopy(fleet)
-  await restoreFromCopy(fleet, newer)
+  await restoreFromCopy(fleet, newerCopy)
   await fleet.clock.advance(700)
-  await restoreFromCopy(fleet, older)
+  await restoreFromCopy(fleet, olderCopy)
   const restoredAtMs = fleet.clock.nowMs()
   const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 3 });
   ['desk-1', 'desk-2', 'desk-4'].forEach((name) => t.deepEqual(arrivalsAt(fleet, name, restoredAtMs), [], name))
@@ -124,13 +124,13 @@
   await fleet.stop()
 })
 
-test('boxes that are all killed as the platform comes back miss what is written after it', async (t) => {
+test('boxes that all restart during the restore adopt later writes', async (t) => {
   const fleet = await startFleet()
   const copy = fleet.platform.copy()
   await writeAfterCopy(fleet)
   const names = fleet.liveBoxes().map(({ name }) => name)
   await restoreFromCopy(fleet, copy, {
-    afterwards: async () => {
+    afterRestore: async () => {
       names.forEach((name) => fleet.kill(name))
       await fleet.clock.run(Promise.all(names.map((name) => fleet.startBox(name))))
     },
@@ -145,7 +145,7 @@
   await fleet.stop()
 })
 
-test('sixty boxes read everything from the platform at one moment when it is back', async (t) => {
+test('sixty boxes do not all read the platform at once after a restore', async (t) => {
   const fleet = await startFleet({ boxCount: 60 })
   const copy = fleet.platform.copy()
   await writeAfterCopy(fleet)
--- a/box/runtime/test/retryAfter.ts
+++ b/box/runtime/test/retryAfter.ts
@@ -10,9 +10,9 @@
   streams: [DECODE_ENGINES],
 }
 
-// A refusal counted as slowness of its upstream, and the time that it asked for was not read.
+// Guards against boxes that ignore the Retry-After of a refusal and only count the upstream as slow.
 for (const [requests, pools] of Object.entries(REFUSING)) {
-  test(`${requests} reach upstreams that refused the box with 503 and Retry-After before that time is over`, async (t) => {
+  test(`${requests} do not reach upstreams that refused the box with 503 before the Retry-After has passed`, async (t) => {
     const fleet = await startFleet()
     const advertised = refuseWithBackoff(fleet, pools.flat(), { durationMs: DURATION_MS })
     await Promise.all([load(fleet, { target: '/status/', perSecond: 60, seconds: 10 }), load(fleet, { target: '/draft/', perSecond: 25, seconds: 10, name: 'draft' })])
@@ -25,11 +25,11 @@
 }
 
 for (const [target, upstreams] of [['/status/', SERVICES], ['/draft/', DECODE_ENGINES], ['/draft/', [...PREFILL_ENGINES, ...DECODE_ENGINES]]] as const) {
-  test(`requests to ${target} are refused at once where all ${upstreams.length} upstreams back off, and callers do not return at one moment`, async (t) => {
+  test(`requests to ${target} are refused immediately if the box backs off from all ${upstreams.length} upstreams, and retries are spread over time`, async (t) => {
     const fleet = await startFleet()
     refuseWithBackoff(fleet, upstreams, { durationMs: DURATION_MS })
     const [box] = fleet.liveBoxes()
-    // Each upstream has to refuse the box before it backs off from all.
+    // Every upstream must refuse the box once before it backs off from all of them.
     const first = await load(fleet, { target, perSecond: 60, seconds: 1, boxes: [box.name], name: 'first' })
     t.true(first.some(({ caller }) => caller.refused))
     const sinceMs = fleet.clock.nowMs()
@@ -49,7 +49,7 @@
   })
 }
 
-test('after its backoff an upstream gets its share again, and no storm', async (t) => {
+test('after its backoff an upstream gets its share of the load again, without a burst', async (t) => {
   const fleet = await startFleet()
   const startMs = fleet.clock.nowMs()
   refuseWithBackoff(fleet, ['desk-1'], { durationMs: DURATION_MS, untilMs: startMs + DURATION_MS })
@@ -61,13 +61,13 @@
   t.log(shares)
   t.true(shares[0] >= 0.5 / SERVICES.length, `${shares[0]}`)
   const arrivals = arrivalsAt(fleet, 'desk-1', startMs + DURATION_MS)
-  const fullest = Math.max(...arrivals.map(({ atMs }) => arrivals.filter((other) => other.atMs >= atMs && other.atMs < atMs + 500).length))
-  t.true(fullest <= 2 * 30 / SERVICES.length, `${fullest} in half a second`)
+  const peak = Math.max(...arrivals.map(({ atMs }) => arrivals.filter((other) => other.atMs >= atMs && other.atMs < atMs + 500).length))
+  t.true(peak <= 2 * 30 / SERVICES.length, `${peak} in half a second`)
   t.true(outcomes.every(({ caller }) => caller.whole))
   await fleet.stop()
 })
 
-test('boxes that an upstream has not refused go on using it', async (t) => {
+test('boxes that an upstream has not refused keep using it', async (t) => {
   const fleet = await startFleet()
   const refused = fleet.address('box-1')
   const advertised = refuseWithBackoff(fleet, SERVICES, { durationMs: DURATION_MS, boxes: [refused] })
@@ -82,7 +82,7 @@
   await fleet.stop()
 })
 
-test('a refusal without a time is no backoff', async (t) => {
+test('a refusal without Retry-After causes no backoff', async (t) => {
   const fleet = await startFleet()
   fleet.relayed.refusalStatusOf = () => 503
   const outcomes = await load(fleet, { target: '/status/', perSecond: 60, seconds: 3 })
--- a/box/runtime/test/rolesFollowLoad.ts
+++ b/box/runtime/test/rolesFollowLoad.ts
@@ -7,17 +7,17 @@
 import test from 'ava'
 
 const ANSWER_TOKENS = 60
-/** Prompts are short and answers long: five decode engines cannot bear them, and seven can. */
+/** Short prompts with long answers: too much for five decode engines, but not for seven. */
 const REQUESTS_PER_SECOND = 28
 const DURATION_MS = 40_000
-/** By then engines have changed their roles. */
+/** The engines have changed their roles by then. */
 const SETTLED_AFTER_MS = 20_000
 
 function countOf (fleet: FakeFleet, role: EngineRole): number {
   return [...fleet.engines.values()].filter((engine) => engine.role === role).length
 }
 
-/** Parts of the requests of the last half of the load that were served, with their first token in time. */
+/** Runs the load. Measures the share of requests in its last half that finished with their first token in time. */
 async function runLoad (rolesFollowLoad: boolean) {
   const fleet = await new FakeFleet({ settings: { scheduling: { rolesFollowLoad } } }).start()
   await fleet.clock.advance(6000)
@@ -41,7 +41,7 @@
   return { inTime, orders, prefill, decode }
 }
 
-test('prefill engines that a load of long answers does not need decode, and more callers are served in time', async (t) => {
+test('under a load of long answers spare prefill engines become decode engines, and more callers are served in time', async (t) => {
   const before = await runLoad(false)
   const after = await runLoad(true)
   t.log(`in time: ${before.inTime.toFixed(3)} with fixed roles, ${after.inTime.toFixed(3)} with roles that follow the load; ${after.orders} orders`)
@@ -51,7 +51,7 @@
   t.true(after.inTime > before.inTime + 0.1, `${before.inTime} before, ${after.inTime} after`)
 })
 
-/** Requests with long answers, which make the scheduler change the role of an engine after some seconds. */
+/** Sends requests with long answers, which make the scheduler change the role of an engine after a few seconds. */
 async function sendLongAnswers (fleet: FakeFleet, durationMs: number): Promise<void> {
   for (let atMs = 0; atMs < durationMs; atMs += 40) {
     const { name } = fleet.liveBoxes()[(atMs / 40) % fleet.liveBoxes().length]
@@ -60,7 +60,7 @@
   }
 }
 
-test('engines end in working roles when the scheduler dies while one changes', async (t) => {
+test('engines end up in working roles when the scheduler dies during a role change', async (t) => {
   const fleet = await new FakeFleet({ settings: { scheduling: { rolesFollowLoad: true } }, engine: { loadModelMs: 6000 } }).start()
   await fleet.clock.advance(6000)
   await sendLongAnswers(fleet, 8000)
@@ -74,9 +74,9 @@
   await fleet.stop()
 })
 
-test('an order to change a role bears the revision of the platform that its box knows, and no count of its own', async (t) => {
+test('an order to change a role carries the platform revision that its box knows, not a counter of the box', async (t) => {
   const fleet = await new FakeFleet({ settings: { scheduling: { rolesFollowLoad: true } }, engine: { loadModelMs: 6000 } }).start()
-  // Boxes get several revisions at once, and which ones differs from box to box.
+  // Boxes receive several revisions at once, in different combinations.
   for (let i = 0; i < 5; i++) fleet.platform.publish(Collection.Fleet, [])
   await fleet.clock.advance(6000)
   const revision = Math.max(...Object.values(Collection).map((collection) => fleet.platform.revision(collection)))
--- a/box/runtime/test/suspendedMachine.ts
+++ b/box/runtime/test/suspendedMachine.ts
@@ -4,7 +4,7 @@
 const SETTINGS = { membership: { probePeriodMs: 700, probeTimeoutMs: 300 } }
 const SUSPENDED_MS = 2500
 
-test('a box whose machine was suspended learns so from its peers, one whose time of day was set does not believe it', async (t) => {
+test('peers tell a suspension of the machine from a wall clock that was set', async (t) => {
   for (const seed of [1, 2, 3, 4, 5]) {
     const fleet = await new FakeFleet({ seed, settings: SETTINGS }).start()
     await fleet.clock.advance(130 * seed)
@@ -18,7 +18,7 @@
   }
 })
 
-test('a box that reaches no peer takes a time of day that went ahead for a suspension', async (t) => {
+test('a box that reaches no peer treats a wall clock jump as a suspension', async (t) => {
   const fleet = await new FakeFleet({ seed: 1, settings: SETTINGS }).start()
   fleet.cutOff('box-1')
   t.true(await fleet.clock.run(fleet.box('box-1').box.wasSuspended(SUSPENDED_MS)))
--- a/box/runtime/test/upstreamLimit.ts
+++ b/box/runtime/test/upstreamLimit.ts
@@ -1,9 +1,7 @@
-// Two of three upstreams of a service named a limit in their answers, some four requests a second from all boxes
-// together. Callers saw nothing; the upstreams got as many requests as before, one of them more than the third, which
-// had named no limit. Boxes passed the answers on and read nothing of it: what a box sent followed from zone and time
-// alone. Nor would it have helped if each had: no single box sent more than the limit, all eight together did. The
-// evidence: in the 4 s after the limits were named 80 and 44 requests, 7 of them second tries, against 18 and 16 that
-// were named; and that these tests fail in the same way for prompts and streams, which the report does not have.
+// Guards against boxes that ignore the rate limits that upstreams advertise for all boxes together. Two of three
+// upstreams of a service advertised about 4 requests per second; in the next 4 s they got 80 and 44 requests, 7 of them
+// retries, instead of the 18 and 16 allowed. A limit per box would not help: none of the eight boxes exceeded it alone.
+// Prompts and streams are affected in the same way as calls.
 import { FakeFleet } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
 import { startFleet } from './__utils__/crashingRequests.js'
@@ -12,30 +10,30 @@
 const LIMITS = { 'desk-1': 4.6, 'desk-2': 4, 'prefill-1': 2, 'decode-1': 1.5, 'decode-2': 0.4 }
 const SECONDS = 15
 
-/** Load at a fleet of which some upstreams name limits, and how full each of these became. */
+/** Runs load while some upstreams advertise limits, and returns the peak usage of each. */
 async function peakUsages (fleet: FakeFleet, upstreams: readonly (keyof typeof LIMITS)[], { target, perSecond }: { target: string, perSecond: number }) {
   const advertisedAtMs = fleet.clock.nowMs()
   advertiseLimits(fleet, LIMITS)
   await load(fleet, { target, perSecond, seconds: SECONDS })
   return upstreams.map((upstream) => ({
     upstream,
-    got: arrivalsAt(fleet, upstream, advertisedAtMs).length,
-    fullest: Number(peakUsageAt(fleet, upstream, { perSecond: LIMITS[upstream], advertisedAtMs }).toFixed(2)),
+    requests: arrivalsAt(fleet, upstream, advertisedAtMs).length,
+    peak: Number(peakUsageAt(fleet, upstream, { perSecond: LIMITS[upstream], advertisedAtMs }).toFixed(2)),
   }))
 }
 
-test('calls to upstreams that name a limit keep it, summed over all boxes', async (t) => {
+test('calls of all boxes together stay within the limits that upstreams advertise', async (t) => {
   const fleet = await startFleet()
   const seen = await peakUsages(fleet, ['desk-1', 'desk-2'], { target: '/status/', perSecond: 60 })
   t.log(seen)
-  seen.forEach((one) => t.true(one.fullest <= 1, `${one.upstream}: ${one.fullest}`))
+  seen.forEach((one) => t.true(one.peak <= 1, `${one.upstream}: ${one.peak}`))
   await fleet.stop()
 })
 
-test('prompts and streams keep the limits that engines name, summed over all boxes', async (t) => {
+test('prompts and streams of all boxes together stay within the limits that engines advertise', async (t) => {
   const fleet = await startFleet()
   const seen = await peakUsages(fleet, ['prefill-1', 'decode-1', 'decode-2'], { target: '/draft/', perSecond: 25 })
   t.log(seen)
-  seen.forEach((one) => t.true(one.fullest <= 1, `${one.upstream}: ${one.fullest}`))
+  seen.forEach((one) => t.true(one.peak <= 1, `${one.upstream}: ${one.peak}`))
   await fleet.stop()
 })
--- a/box/runtime/test/upstreamLimitShared.ts
+++ b/box/runtime/test/upstreamLimitShared.ts
@@ -6,26 +6,26 @@
 import { PROPAGATION_MS, HOST, SERVICES, startFleet } from './__utils__/crashingRequests.js'
 import { arrivalsAt, peakUsageAt, load, advertiseLimits, type Outcome } from './__utils__/limitedUpstreams.js'
 
-/** Of what a limit lets through in a time, this much at least is taken where more is asked. */
+/** Minimum share of an advertised limit that is used while the load exceeds it. */
 const MIN_USED_SHARE = 0.9
-/** Boxes answer at once what no upstream may take: within some calls between boxes. */
+/** A request that no upstream may take is refused within this time, which allows for a few calls between boxes. */
 const REFUSAL_BOUND_MS = 100
 
-/** Every service names this limit. */
+/** The same limit for every service. */
 const limitAllDesks = (perSecond: number) => Object.fromEntries(SERVICES.map((name) => [name, perSecond]))
 
-/** What an upstream got in the seconds after all boxes must know its limit, as a part of what it takes in that time. */
+/** Requests that an upstream got in the seconds after all boxes must know its limit, as a share of what the limit allows. */
 function usedShareAt (fleet: FakeFleet, upstream: string, perSecond: number, { advertisedAtMs, seconds }: { advertisedAtMs: number, seconds: number }): number {
   const fromMs = advertisedAtMs + PROPAGATION_MS
   const arrivals = arrivalsAt(fleet, upstream, fromMs).filter(({ atMs }) => atMs < fromMs + seconds * 1000)
   return arrivals.length / (perSecond * seconds)
 }
 
-function refused (outcomes: readonly Outcome[]): Outcome[] {
+function refusedOutcomes (outcomes: readonly Outcome[]): Outcome[] {
   return outcomes.filter(({ caller }) => caller.refused !== undefined)
 }
 
-/** Each is refused unrun, at once, and with a time to return. */
+/** Checks that each request was refused immediately, as not run and with a retry delay. */
 function checkRefusals (t: ExecutionContext, fleet: FakeFleet, refusals: readonly Outcome[]): void {
   t.deepEqual([...new Set(refusals.map(({ caller }) => caller.refused?.code))], [ErrorCode.UpstreamLimit])
   t.deepEqual([...new Set(refusals.map(({ caller }) => caller.refused?.verdict))], [Verdict.NotRun])
@@ -35,33 +35,33 @@
 }
 
 for (const boxCount of [2, 8, 195]) {
-  test(`${boxCount} boxes give upstreams that all name a limit what they take, and refuse the rest at once`, async (t) => {
+  test(`${boxCount} boxes use the limits that all upstreams advertise, and refuse excess requests immediately`, async (t) => {
     const fleet = await startFleet({ boxCount })
     const advertisedAtMs = fleet.clock.nowMs()
     const perSecond = 4
     advertiseLimits(fleet, limitAllDesks(perSecond))
     await load(fleet, { target: '/status/', perSecond: 40, seconds: PROPAGATION_MS / 1000, name: 'first' })
     const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 12 })
-    const seen = SERVICES.map((upstream) => ({ upstream, fullest: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), taken: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 12 }) }))
+    const seen = SERVICES.map((upstream) => ({ upstream, peak: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), used: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 12 }) }))
     t.log(seen)
-    seen.forEach(({ fullest, taken }) => {
-      t.true(fullest <= 1)
-      t.true(taken >= MIN_USED_SHARE)
+    seen.forEach(({ peak, used }) => {
+      t.true(peak <= 1)
+      t.true(used >= MIN_USED_SHARE)
     })
-    checkRefusals(t, fleet, refused(outcomes))
+    checkRefusals(t, fleet, refusedOutcomes(outcomes))
     await fleet.stop()
   })
 }
 
-test('callers that another upstream may serve are not refused', async (t) => {
+test('callers are not refused while another upstream has capacity', async (t) => {
   const fleet = await startFleet()
   advertiseLimits(fleet, { 'desk-1': 3, 'desk-2': 3, 'desk-3': 0.5, 'desk-4': 0 })
   const outcomes = await load(fleet, { target: '/once/', perSecond: 30, seconds: 10 })
-  t.deepEqual(refused(outcomes), [])
+  t.deepEqual(refusedOutcomes(outcomes), [])
   await fleet.stop()
 })
 
-test('streams whose engines all name a limit are given what these take, and the rest is refused unrun', async (t) => {
+test('streams use the limits that all their engines advertise, and excess streams are refused as not run', async (t) => {
   const fleet = await startFleet()
   const advertisedAtMs = fleet.clock.nowMs()
   const engines = ['prefill-1', 'prefill-2', 'prefill-3', 'prefill-4']
@@ -69,40 +69,40 @@
   advertiseLimits(fleet, Object.fromEntries(engines.map((name) => [name, perSecond])))
   await load(fleet, { target: '/draft/', perSecond: 20, seconds: PROPAGATION_MS / 1000, name: 'first' })
   const outcomes = await load(fleet, { target: '/draft/', perSecond: 20, seconds: 36 })
-  const seen = engines.map((upstream) => ({ upstream, fullest: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), taken: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 36 }) }))
-  t.log(seen, refused(outcomes).length)
-  seen.forEach(({ fullest, taken }) => {
-    t.true(fullest <= 1)
-    t.true(taken >= MIN_USED_SHARE)
+  const seen = engines.map((upstream) => ({ upstream, peak: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), used: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 36 }) }))
+  t.log(seen, refusedOutcomes(outcomes).length)
+  seen.forEach(({ peak, used }) => {
+    t.true(peak <= 1)
+    t.true(used >= MIN_USED_SHARE)
   })
   const ran = new Set(fleet.relayed.arrivals.map(({ id }) => id))
-  refused(outcomes).forEach(({ caller }) => t.is(caller.refused?.verdict, Verdict.NotRun))
-  t.is(outcomes.filter((_, i) => ran.has(`load-${i}`)).length, outcomes.length - refused(outcomes).length)
+  refusedOutcomes(outcomes).forEach(({ caller }) => t.is(caller.refused?.verdict, Verdict.NotRun))
+  t.is(outcomes.filter((_, i) => ran.has(`load-${i}`)).length, outcomes.length - refusedOutcomes(outcomes).length)
   await fleet.stop()
 })
 
-test('a limit that falls, rises or goes holds as it is named', async (t) => {
+test('a lowered, raised or removed limit takes effect as advertised', async (t) => {
   const fleet = await startFleet()
-  const play = async (limits: Record<string, number>, name: string) => {
+  const runWithLimits = async (limits: Record<string, number>, name: string) => {
     const advertisedAtMs = fleet.clock.nowMs()
     advertiseLimits(fleet, limits)
     await load(fleet, { target: '/status/', perSecond: 60, seconds: 12, name })
     return { advertisedAtMs, seconds: 9 }
   }
-  const first = await play(limitAllDesks(6), 'first')
+  const first = await runWithLimits(limitAllDesks(6), 'first')
   t.true(usedShareAt(fleet, 'desk-1', 6, first) >= MIN_USED_SHARE)
   t.true(peakUsageAt(fleet, 'desk-1', { perSecond: 6, advertisedAtMs: first.advertisedAtMs }) <= 1)
-  const fallen = await play({ ...limitAllDesks(6), 'desk-1': 0.5 }, 'fallen')
-  t.true(peakUsageAt(fleet, 'desk-1', { perSecond: 0.5, advertisedAtMs: fallen.advertisedAtMs }) <= 1)
-  t.true(usedShareAt(fleet, 'desk-1', 0.5, fallen) >= 0.7)
-  const risen = await play({ ...limitAllDesks(6), 'desk-1': 5 }, 'risen')
-  t.true(usedShareAt(fleet, 'desk-1', 5, risen) >= MIN_USED_SHARE)
-  const gone = await play({ ...limitAllDesks(6), 'desk-1': undefined as unknown as number }, 'gone')
-  t.true(usedShareAt(fleet, 'desk-1', 20, gone) >= MIN_USED_SHARE)
+  const lowered = await runWithLimits({ ...limitAllDesks(6), 'desk-1': 0.5 }, 'fallen')
+  t.true(peakUsageAt(fleet, 'desk-1', { perSecond: 0.5, advertisedAtMs: lowered.advertisedAtMs }) <= 1)
+  t.true(usedShareAt(fleet, 'desk-1', 0.5, lowered) >= 0.7)
+  const raised = await runWithLimits({ ...limitAllDesks(6), 'desk-1': 5 }, 'risen')
+  t.true(usedShareAt(fleet, 'desk-1', 5, raised) >= MIN_USED_SHARE)
+  const removed = await runWithLimits({ ...limitAllDesks(6), 'desk-1': undefined as unknown as number }, 'gone')
+  t.true(usedShareAt(fleet, 'desk-1', 20, removed) >= MIN_USED_SHARE)
   await fleet.stop()
 })
 
-test('an upstream that takes nothing gets a request now and then, and is used again when it takes some', async (t) => {
+test('an upstream with a limit of zero gets occasional requests, and is used again when the limit is removed', async (t) => {
   const fleet = await startFleet()
   const advertisedAtMs = fleet.clock.nowMs()
   advertiseLimits(fleet, { 'desk-1': 0 })
@@ -116,17 +116,17 @@
   await fleet.stop()
 })
 
-test('what cannot be read as a limit changes nothing', async (t) => {
+test('an unreadable limit is ignored', async (t) => {
   const fleet = await startFleet()
   const advertisedAtMs = fleet.clock.nowMs()
   fleet.relayed.signalsOf = (upstream) => upstream === 'desk-1' ? { rateLimit: { text: 'few' } } : {}
   const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 8 })
-  t.deepEqual(refused(outcomes), [])
+  t.deepEqual(refusedOutcomes(outcomes), [])
   t.true(usedShareAt(fleet, 'desk-1', 5, { advertisedAtMs, seconds: 5 }) >= MIN_USED_SHARE)
   await fleet.stop()
 })
 
-test('an upstream that starts again owes nothing to the limit of its start before', async (t) => {
+test('a restarted upstream does not inherit the limit of its previous start', async (t) => {
   const fleet = await startFleet()
   advertiseLimits(fleet, { 'desk-1': 0.5 })
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 6 })
@@ -142,7 +142,7 @@
   await fleet.stop()
 })
 
-test('second tries count, and a failure that can be passed on is passed on where none may be made', async (t) => {
+test('retries count against limits, and a failed response is passed on if no retry is permitted', async (t) => {
   const fleet = await startFleet()
   const run = fleet.relayed.run.bind(fleet.relayed)
   fleet.relayed.run = (target, request, opts) => ({ ...run(target, request, opts), ...target.instance === 'desk-1' ? { status: 500 } : {} })
@@ -151,12 +151,12 @@
   advertiseLimits(fleet, Object.fromEntries(others.map((name) => [name, 2])))
   const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 12 })
   others.forEach((upstream) => t.true(peakUsageAt(fleet, upstream, { perSecond: 2, advertisedAtMs }) <= 1, upstream))
-  t.deepEqual(refused(outcomes), [])
+  t.deepEqual(refusedOutcomes(outcomes), [])
   t.deepEqual([...new Set(outcomes.map(({ caller }) => caller.status))].sort(), [200, 500])
   await fleet.stop()
 })
 
-test('streams that go on elsewhere count', async (t) => {
+test('resumed streams count against limits', async (t) => {
   const fleet = await startFleet()
   const engines = fleet.allEngines().map(({ name }) => name).filter((name) => name.startsWith('decode'))
   const advertisedAtMs = fleet.clock.nowMs()
@@ -175,13 +175,13 @@
   await fleet.stop()
 })
 
-/** Boxes that believe that an upstream names a limit. */
+/** Names of the boxes that know an advertised limit of an upstream. */
 function boxesWithLimit (fleet: FakeFleet, upstream: string): string[] {
   return fleet.liveBoxes().filter(({ box }) => box.describe().upstreamStates.some((state) => state.upstream === upstream && state.perSecond !== undefined)).map(({ name }) => name)
 }
 
 for (const boxCount of [8, 195]) {
-  test(`of ${boxCount} boxes each knows within 300 ms what one of them was told`, async (t) => {
+  test(`all of ${boxCount} boxes know within 300 ms a limit that was advertised to one of them`, async (t) => {
     const fleet = await startFleet({ boxCount })
     advertiseLimits(fleet, limitAllDesks(3))
     void fleet.relay('box-1', { id: 'first', host: HOST, target: '/once/first', prompt: undefined })
@@ -192,7 +192,7 @@
   })
 }
 
-test('boxes that were cut off, or start with nothing, hear of limits soon after they reach another box', async (t) => {
+test('boxes that were isolated or have restarted learn of limits soon after they reach another box', async (t) => {
   const fleet = await startFleet()
   const inside = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a').map(({ name }) => name)
   fleet.cutOffZone('hall-a')
@@ -211,17 +211,17 @@
   await fleet.stop()
 })
 
-/** The boxes that keep permits of an upstream at present. */
+/** Names of the current coordinators of the upstreams' permits. */
 function coordinatorsOf (fleet: FakeFleet, limits: Readonly<Record<string, number>>): string[] {
   return Object.keys(limits).flatMap((upstream) => fleet.liveBoxes().filter(({ box }) => box.coordinatesPermitsOf(upstream)).map(({ name }) => name))
 }
 
 enum Fault {
-  KillCoordinator = 'the home ends',
-  RestartCoordinator = 'the home ends and is back with nothing',
-  FreezeCoordinator = 'the home is suspended for two seconds',
-  CutCoordinator = 'the home is cut off from all others',
-  CutZone = 'a zone is cut off',
+  KillCoordinator = 'the coordinator is killed',
+  RestartCoordinator = 'the coordinator restarts without its state',
+  FreezeCoordinator = 'the coordinator is suspended for two seconds',
+  CutCoordinator = 'the coordinator is isolated',
+  CutZone = 'a zone is isolated',
   RestartAll = 'all boxes restart one after the other',
 }
 
@@ -268,7 +268,7 @@
 
 for (const fault of Object.values(Fault)) {
   for (const seed of [1, 2, 3]) {
-    test(`limits hold, and what upstreams take is taken, while ${fault} (seed ${seed})`, async (t) => {
+    test(`limits hold and are used while ${fault} (seed ${seed})`, async (t) => {
       const fleet = await startFleet({ seed })
       const advertisedAtMs = fleet.clock.nowMs()
       const perSecond = 5
@@ -276,15 +276,15 @@
       advertiseLimits(fleet, limits)
       await load(fleet, { target: '/status/', perSecond: 50, seconds: 5, name: 'before' })
       const [coordinator] = coordinatorsOf(fleet, limits)
-      const excusedBoxes = injectFault(fleet, fault, coordinator)
+      const affectedBoxes = injectFault(fleet, fault, coordinator)
       await load(fleet, { target: '/status/', perSecond: 50, seconds: 12, name: 'during' })
-      const excused = (await fleet.clock.run(excusedBoxes)).map((name) => fleet.address(name))
+      const excludedAddresses = (await fleet.clock.run(affectedBoxes)).map((name) => fleet.address(name))
       const all = SERVICES.map((upstream) => peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }))
-      const counted = SERVICES.map((upstream) => peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs, excused }))
-      const taken = SERVICES.map((upstream) => usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 14 }))
-      t.log({ home: coordinator, all, counted, taken })
-      counted.forEach((fullest) => t.true(fullest <= 1))
-      taken.forEach((part) => t.true(part >= MIN_USED_SHARE - 0.25))
+      const counted = SERVICES.map((upstream) => peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs, excludedAddresses }))
+      const used = SERVICES.map((upstream) => usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 14 }))
+      t.log({ coordinator, all, counted, taken: used })
+      counted.forEach((peak) => t.true(peak <= 1))
+      used.forEach((share) => t.true(share >= MIN_USED_SHARE - 0.25))
       await fleet.stop()
     })
   }
--- a/box/runtime/test/upstreamReports.ts
+++ b/box/runtime/test/upstreamReports.ts
@@ -1,6 +1,6 @@
-// Calls that may be sent once were lost, one for each box: an upstream went down and up by turns, took connections
-// meanwhile and closed them without an answer, and each box learned of it by a call of its own. The evidence: 84 calls
-// with 502 within 5 s at 88 boxes, each to the one upstream of three that was down.
+// Guards against the loss of one non-repeatable call per box. A flapping upstream accepted connections and closed them
+// without an answer, and each box detected it only by losing a call: 84 calls ended with 502 within 5 s at 88 boxes,
+// all sent to the one of three upstreams that was down.
 import { FakeFleet } from '@reelspan/utils.fake-fleet'
 import { UpstreamError } from '@reelspan/upstream.client'
 import test from 'ava'
@@ -10,7 +10,7 @@
 const EVERY_MS = 10
 const DOWN_MS = 1100
 
-/** Calls through all boxes in turn, while one upstream takes connections and closes them. Answers how many were lost. */
+/** Sends calls through all boxes in turn while one upstream accepts connections and closes them. Returns how many calls were lost. */
 async function countLostCalls (fleet: FakeFleet): Promise<number> {
   const down = fleet.address('desk-1')
   const downUntilMs = fleet.clock.nowMs() + DOWN_MS
@@ -28,11 +28,11 @@
   return callers.filter(({ refused }) => refused !== undefined).length
 }
 
-test('an upstream that closes connections costs the fleet a few calls, not one of each box', async (t) => {
+test('an upstream that closes connections costs the fleet a few calls, not one per box', async (t) => {
   const fleet = await startFleet({ boxCount: 58 })
   const lost = await countLostCalls(fleet)
   t.log(`${lost} of ${CALLS} calls lost`)
-  // Two boxes must have seen it, and what is sent until all know is lost: a fifth of a second, of a fifth of the calls.
+  // Two boxes must see it first. Until all boxes know, about a fifth of a second, a fifth of the calls are lost.
   t.true(lost <= 8)
   await fleet.stop()
 })
--- a/box/runtime/test/watcherRole.ts
+++ b/box/runtime/test/watcherRole.ts
@@ -27,14 +27,14 @@
   return { clock, contact, roles, watching: () => roles.filter(({ role }) => role.isWatcher()).map(({ incarnation }) => incarnation) }
 }
 
-test('so many boxes of a zone watch the platform as are set, and the same ones whoever asks', (t) => {
+test('the configured number of boxes per zone watch the platform, and all boxes agree on which', (t) => {
   const { watching } = createRoles(['a', 'b', 'c', 'd', 'e'])
   const first = watching()
   t.is(first.length, WATCHERS)
   t.deepEqual(watching(), first)
 })
 
-test('another box watches as soon as one that watched is known to leave or to be gone', (t) => {
+test('another box watches as soon as a watcher is known to be leaving or gone', (t) => {
   const { roles, watching } = createRoles(['a', 'b', 'c', 'd', 'e'])
   const [first, second] = watching()
   roles.forEach(({ incarnation, view }) => {
@@ -47,7 +47,7 @@
   t.is(watching().filter((incarnation) => incarnation !== second).length, WATCHERS)
 })
 
-test('a box that has lost sight of the others watches itself, and no longer once it sees them', async (t) => {
+test('an isolated box watches the platform until it reaches the others again', async (t) => {
   const { clock, contact, watching } = createRoles(['a', 'b', 'c', 'd', 'e'])
   await clock.advance(5000)
   t.is(watching().length, 5)
--- a/box/runtime/test/wholeAnswers.ts
+++ b/box/runtime/test/wholeAnswers.ts
@@ -13,21 +13,21 @@
   return outcome
 }
 
-test('tokens that arrive twice are given to the caller once', async (t) => {
+test('tokens that arrive twice are sent to the caller once', async (t) => {
   t.is((await answerUnder({ doubleTokens: true })).text, expectedAnswer(PROMPT, 64))
 })
 
-test('a stream that breaks is taken up again where it broke', async (t) => {
+test('an aborted stream is resumed where it stopped', async (t) => {
   t.is((await answerUnder({ breakAfterTokens: 7 })).text, expectedAnswer(PROMPT, 64))
 })
 
-test('an answer of another request is not passed on', async (t) => {
+test('an engine answer that belongs to another request is not passed on', async (t) => {
   const outcome = await answerUnder({ crossAnswers: true })
   t.is(outcome.verdict, Verdict.MayHaveRun)
   t.is(outcome.text, '')
 })
 
-test('a crossed answer of a service is not passed on', async (t) => {
+test('a service answer that belongs to another request is not passed on', async (t) => {
   const fleet = await new FakeFleet({ boxCount: 3 }).start()
   fleet.services.forEach((service) => { service.faults.crossAnswers = true })
   const outcome = await fleet.clock.run(fleet.send('box-1', fleet.booking(fleet.key('box-1'))))
@@ -36,7 +36,7 @@
   await fleet.stop()
 })
 
-test('an answer goes on elsewhere, whole, when its decode engine dies', async (t) => {
+test('an answer is completed on another decode engine when its engine dies', async (t) => {
   const fleet = await new FakeFleet({ boxCount: 4 }).start()
   const answer = fleet.send('box-1', fleet.completion('box-1', PROMPT))
   await fleet.clock.advance(800)
@@ -47,7 +47,7 @@
   await fleet.stop()
 })
 
-test('a forwarded answer survives a cut between the boxes', async (t) => {
+test('a forwarded answer survives a network cut between the boxes', async (t) => {
   const fleet = await new FakeFleet().start()
   const request = fleet.completion('box-1', PROMPT)
   const first = fleet.send('box-2', request)
--- a/box/runtime/test/wholePath.ts
+++ b/box/runtime/test/wholePath.ts
@@ -3,7 +3,7 @@
 import { expectedAnswer, promptFor } from '@reelspan/utils.fakes'
 import test from 'ava'
 
-test('a completion goes through separate pools and comes back whole', async (t) => {
+test('a completion runs through separate prefill and decode pools and is returned complete', async (t) => {
   const fleet = await new FakeFleet().start()
   const prompt = promptFor('a', { answerTokens: 20 })
   const outcome = await fleet.clock.run(fleet.send('box-1', fleet.completion('box-1', prompt)))
@@ -13,7 +13,7 @@
   await fleet.stop()
 })
 
-test('every box brings a request to the owner that its key names', async (t) => {
+test('every box forwards a request to the owner that its key names', async (t) => {
   const fleet = await new FakeFleet().start()
   const key = fleet.key('box-3')
   const outcomes = await fleet.clock.run(Promise.all(fleet.boxes.map(({ name }) => fleet.send(name, fleet.booking(key)))))
