--- a/box/runtime/src/box.ts
+++ b/box/runtime/src/box.ts
@@ -75,7 +75,7 @@
     registerBoxMetrics(this.#parts)
     Object.values(followers).forEach((follower) => follower.start())
     prober.start()
-    this.#parts.proofRenewer?.start()
+    this.#parts.proofKeeper?.start()
     this.#reconciler.start()
     log.info(LogEvent.Started, { incarnation: view.self.incarnation, revision: this.#parts.declarations.revision })
   }
@@ -114,9 +114,9 @@
    * @returns whether the machine was suspended, rather than its wall clock set
    */
   async wasSuspended (durationMs: number): Promise<boolean> {
-    const { log, pauseDetector, prober, freshnessProof } = this.#parts
+    const { log, pauseDetector, prober, proof } = this.#parts
     pauseDetector.note(durationMs)
-    freshnessProof.forget()
+    proof.forget()
     const suspended = await prober.hasLostTime(durationMs)
     log.warn(LogEvent.ClockLeapt, { durationMs: Math.round(durationMs), suspended })
     return suspended
@@ -205,11 +205,11 @@
 
   /** State of the whole process, for the debug endpoint. */
   describe () {
-    const { view, declarations, fleetList, fleet, records, owner, relay, shardManagers, prober, placer, runHistory, quarantine, upstreamStates, backoffs, freshnessProof, settings } = this.#parts
+    const { view, declarations, fleetList, fleet, records, owner, relay, shardManagers, prober, placer, runHistory, quarantine, upstreamStates, backoffs, proof, settings } = this.#parts
     return {
       self: view.self,
       ready: this.ready,
-      proofAgeMs: Number.isFinite(freshnessProof.ageMs) ? Math.round(freshnessProof.ageMs) : undefined,
+      proofAgeMs: Number.isFinite(proof.ageMs) ? Math.round(proof.ageMs) : undefined,
       stopping: this.#stopping,
       declarations: { revision: declarations.revision, resources: declarations.value.resources.length, rejected: declarations.rejected },
       fleet: { ...storeRevisionOf(fleetList.revision), boxes: fleet.value.boxes.length, upstreams: fleet.value.upstreams.length, keptThoughMissing: fleet.missing },
@@ -239,11 +239,11 @@
 
   /** Stops immediately. Each running request ends with its verdict. */
   async stop (): Promise<void> {
-    const { prober, proofRenewer, reportBroadcast, followers, shardManagers, owner, relay, runGossip, upstreamStateGossip, link, log } = this.#parts
+    const { prober, proofKeeper, reportFlood, followers, shardManagers, owner, relay, runGossip, upstreamStateGossip, link, log } = this.#parts
     this.#stopping = true
     const requestsCut = this.#callersBeingServed
     await Promise.all([owner.stop(), relay?.stop()])
-    await Promise.all([this.#tasks.stop(), prober.stop(), proofRenewer?.stop(), reportBroadcast.stop(), runGossip.stop(), upstreamStateGossip.stop(), shardManagers.stop(), ...Object.values(followers).map((follower) => follower.stop()), link.close()])
+    await Promise.all([this.#tasks.stop(), prober.stop(), proofKeeper?.stop(), reportFlood.stop(), runGossip.stop(), upstreamStateGossip.stop(), shardManagers.stop(), ...Object.values(followers).map((follower) => follower.stop()), link.close()])
     log.info(LogEvent.Stopped, { requestsCut })
   }
 
--- a/box/runtime/src/boxParts.ts
+++ b/box/runtime/src/boxParts.ts
@@ -50,8 +50,8 @@
   connectionShares: ConnectionShares
   followers: Record<Collection, ConfigFollower>
   /** Freshness proof of the declarations in force, required for requests with an account key. */
-  freshnessProof: ConfigurationProof
-  proofRenewer?: ProofKeeper
+  proof: ConfigurationProof
+  proofKeeper?: ProofKeeper
   /** Token buckets of the client accounts that this box coordinates. */
   accountBuckets: LimitBook
   limiter: SharedLimiter
@@ -59,7 +59,7 @@
   prober: Prober
   brokenRuns: BrokenRuns
   upstreamReports: UpstreamReports
-  reportBroadcast: Flood<UpstreamReport>
+  reportFlood: Flood<UpstreamReport>
   /** Rate limits and draining that upstreams advertise in their responses, to this box or any other. */
   upstreamStates: UpstreamStates
   backoffs: Backoffs
--- a/box/runtime/src/cachedStateAges.ts
+++ b/box/runtime/src/cachedStateAges.ts
@@ -5,7 +5,7 @@
 export interface CachedStateAgesOptions {
   clock: Clock
   /** Time since the platform last answered any box, as far as this box knows. */
-  sincePlatformContactMs: () => number | undefined
+  platformSilentMs: () => number | undefined
   /** Age of the oldest last report among the engines that this box schedules. */
   oldestReportAgeMs: () => number | undefined
 }
@@ -25,10 +25,10 @@
   }
 
   values (): LabelledValue[] {
-    const { sincePlatformContactMs, oldestReportAgeMs } = this.#opts
+    const { platformSilentMs, oldestReportAgeMs } = this.#opts
     return [
       ...Object.values(Collection).map((collection) => ({ labels: { belief: collection }, value: this.#adoptedAgeMs(collection) })),
-      { labels: { belief: 'platformContact' }, value: sincePlatformContactMs() },
+      { labels: { belief: 'platformContact' }, value: platformSilentMs() },
       { labels: { belief: 'engineReports' }, value: oldestReportAgeMs() },
     ]
   }
--- a/box/runtime/src/createAccountParts.ts
+++ b/box/runtime/src/createAccountParts.ts
@@ -24,13 +24,13 @@
 
 /** Renews the freshness proof before it expires; undefined if the settings require no proof. */
 export function createProofRenewer (parts: BoxParts): ProofKeeper | undefined {
-  const { clock, random, freshnessProof, declarations, followers, failures, log, prober, settings, view, watcherRole } = parts
+  const { clock, random, proof, declarations, followers, failures, log, prober, settings, view, watcherRole } = parts
   const boundMs = maxFreshnessProofAgeMs(parts)
   if (boundMs === undefined) return undefined
   return new ProofKeeper({
     clock,
     random,
-    proof: freshnessProof,
+    proof,
     boundMs,
     isInUse: () => settings.accounts.required || declarations.value.accounts().length > 0,
     role: () => watcherRole.proofRole(),
@@ -60,9 +60,9 @@
 }
 
 export function createAdmission (parts: BoxParts): Admission {
-  const { clock, declarations, limiter, log, metrics, freshnessProof, settings } = parts
+  const { clock, declarations, limiter, log, metrics, proof, settings } = parts
   const accessWait = new AccessPatience({ clock, changed: (signal) => declarations.waitAbove(declarations.revision, signal) })
-  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof: freshnessProof, limiter, patience: accessWait, log, metrics })
+  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof, limiter, patience: accessWait, log, metrics })
 }
 
 function planOf (parts: BoxParts, account: string, share: number): BucketPlan | undefined {
--- a/box/runtime/src/createBox.ts
+++ b/box/runtime/src/createBox.ts
@@ -46,15 +46,15 @@
     upstreams: asFunction((parts: BoxParts) => new UpstreamsByAddress(parts)).singleton(),
     connectionShares: asFunction(createConnectionShares).singleton(),
     followers: asFunction(createFollowers).singleton(),
-    freshnessProof: asFunction(createFreshnessProof).singleton(),
-    proofRenewer: asFunction(createProofRenewer).singleton(),
+    proof: asFunction(createFreshnessProof).singleton(),
+    proofKeeper: asFunction(createProofRenewer).singleton(),
     accountBuckets: asFunction(createAccountBuckets).singleton(),
     limiter: asFunction(createLimiter).singleton(),
     admission: asFunction(createAdmission).singleton(),
     prober: asFunction(createProber).singleton(),
     brokenRuns: asFunction(createBrokenRuns).singleton(),
     upstreamReports: asFunction((parts: BoxParts) => new UpstreamReports(parts)).singleton(),
-    reportBroadcast: asFunction(createReportBroadcast).singleton(),
+    reportFlood: asFunction(createReportBroadcast).singleton(),
     upstreamStates: asFunction(createUpstreamStates).singleton(),
     backoffs: asFunction(createBackoffs).singleton(),
     signals: asFunction(createSignalObserver).singleton(),
@@ -117,8 +117,8 @@
     inFlight: () => parts.owner.inFlight + (parts.relay?.inFlight ?? 0),
     platformAnswering: () => parts.platformContact.answering,
     onPlatformAnswering: (report) => parts.platformContact.receivePeerReport(report),
-    proof: () => parts.freshnessProof.told,
-    onPeerProof: (report, askedAtMs) => parts.freshnessProof.hear(report, askedAtMs),
+    proof: () => parts.proof.told,
+    onPeerProof: (report, askedAtMs) => parts.proof.hear(report, askedAtMs),
     newsDigests: () => ({ runsDigest: parts.runHistory.digest || undefined, upstreamStatesDigest: parts.upstreamStates.digest || undefined }),
     onPeerNewsDigests: (address, { runsDigest, upstreamStatesDigest }) => {
       parts.runGossip.hear(address, runsDigest)
@@ -156,7 +156,7 @@
 }
 
 function createCachedStateAges ({ clock, platformContact, shardManagers }: BoxParts): CachedStateAges {
-  return new CachedStateAges({ clock, sincePlatformContactMs: () => platformContact.sinceContactMs, oldestReportAgeMs: () => shardManagers.oldestReportAgeMs() })
+  return new CachedStateAges({ clock, platformSilentMs: () => platformContact.silentMs, oldestReportAgeMs: () => shardManagers.oldestReportAgeMs() })
 }
 
 function createDispatch (parts: BoxParts): PeerDispatch {
@@ -172,7 +172,7 @@
     upstreamStateGossip: parts.upstreamStateGossip,
     permitBuckets: parts.permitBuckets,
     upstreamStates: parts.upstreamStates,
-    onUpstreamReports: (reports) => parts.reportBroadcast.tell(reports.filter((report) => parts.upstreamReports.add(report))),
+    onUpstreamReports: (reports) => parts.reportFlood.tell(reports.filter((report) => parts.upstreamReports.add(report))),
     lookup: parts.lookup,
     confirmRunningHere: parts.confirmRunningHere,
     describeForStatus: () => parts.shardManagers.describe(),
--- a/box/runtime/src/createConfigParts.ts
+++ b/box/runtime/src/createConfigParts.ts
@@ -36,7 +36,7 @@
 
 /** Tracks whether the platform answers any box. */
 export function createPlatformContact ({ clock, log, platform, watcherRole }: BoxParts): PlatformContactTracker {
-  return new PlatformContactTracker({ clock, log, isWatcher: () => watcherRole.isWatcher(), lastAnswerMs: () => platform.lastAnswerMs })
+  return new PlatformContactTracker({ clock, log, isWatcher: () => watcherRole.holds(), lastAnswerMs: () => platform.lastAnswerMs })
 }
 
 /** Decides whether this box watches the platform on behalf of its availability zone. */
@@ -51,17 +51,17 @@
     ...environmentOf(parts),
     store,
     collection,
-    isWatcher: () => parts.watcherRole.isWatcher(),
+    isWatcher: () => parts.watcherRole.holds(),
     watchWaitMs: parts.settings.platform.watchWaitMs,
     backstopPollMs: parts.settings.platform.backstopPollMs,
     peerTimeoutMs: PEER_TIMEOUT_MS,
     longestBackoffMs: parts.settings.platform.longestBackoffMs,
     onAnswer: () => {
-      if (collection === Collection.Fleet) parts.platformContact.recordAnswer()
+      if (collection === Collection.Fleet) parts.platformContact.answered()
     },
     onReachable: (reachable, details) => parts.platformContact.recordReachability(reachable, details),
     onConfirmed: (revision, askedAtMs) => {
-      if (collection === Collection.Declarations) parts.freshnessProof.noteRead(revision, askedAtMs)
+      if (collection === Collection.Declarations) parts.proof.noteRead(revision, askedAtMs)
     },
     onTaskError: (thrown) => parts.failures.recordTask(`follower of ${collection}`, thrown),
     onRejected: (problems, revision) => parts.log.warn(LogEvent.RevisionRejected, { collection, revision, problems }),
--- a/box/runtime/src/createRequestParts.ts
+++ b/box/runtime/src/createRequestParts.ts
@@ -119,7 +119,7 @@
 }
 
 /** Broadcasts to all boxes that an upstream closed a connection to this box without an answer. */
-function broadcastReport ({ random, reportBroadcast, upstreamReports, view }: BoxParts, upstream: string): void {
+function broadcastReport ({ random, reportFlood, upstreamReports, view }: BoxParts, upstream: string): void {
   const report = { id: random.hex(16), upstream, box: view.self.name, ageMs: 0 }
-  if (upstreamReports.add(report)) reportBroadcast.tell([report])
+  if (upstreamReports.add(report)) reportFlood.tell([report])
 }
--- a/box/runtime/src/fleetChangeLogger.ts
+++ b/box/runtime/src/fleetChangeLogger.ts
@@ -6,7 +6,7 @@
   fleet: GuardedFleet
   log: Log
   /** Time since the platform last answered any box, as far as this box knows. */
-  sincePlatformContactMs: () => number | undefined
+  platformSilentMs: () => number | undefined
 }
 
 /** State of an upstream in the fleet list that a box acts on. */
@@ -31,7 +31,7 @@
 
   /** Logs the differences from the list at the previous call. */
   logChanges ({ era, revision }: StoreRevision): void {
-    const { fleet, log, sincePlatformContactMs } = this.#opts
+    const { fleet, log, platformSilentMs } = this.#opts
     const previous = this.#previous
     const current = listingStates(fleet)
     this.#previous = current
@@ -47,7 +47,7 @@
       leaving: namesOf(ListingState.Draining),
       kept: namesOf(ListingState.Kept),
       gone: removed.slice(0, MAX_NAMES_PER_FIELD),
-      platformSilentMs: roundIfKnown(sincePlatformContactMs()),
+      platformSilentMs: roundIfKnown(platformSilentMs()),
     })
   }
 }
--- a/box/runtime/src/platformContactTracker.ts
+++ b/box/runtime/src/platformContactTracker.ts
@@ -43,23 +43,23 @@
   }
 
   get mayHaveLapsed (): boolean {
-    if ((this.sinceContactMs ?? 0) >= MIN_ENTRY_LAPSE_MS) return true
+    if ((this.silentMs ?? 0) >= MIN_ENTRY_LAPSE_MS) return true
     return this.#previous !== undefined && this.#latest !== undefined && this.#opts.clock.nowMs() < this.#latest.sinceMs + REENTRY_MS
   }
 
   /** Time since any box last had contact with the platform, as far as this box knows. */
-  get sinceContactMs (): number | undefined {
+  get silentMs (): number | undefined {
     if (this.#isWaiting) return 0
     return this.#latest && this.#opts.clock.nowMs() - this.#lastContactAtMs
   }
 
   /** Report for the peers, or undefined if this box knows of no contact. */
   get answering (): PlatformAnswering | undefined {
-    const { sinceContactMs } = this
+    const { silentMs } = this
     const interval = this.#latestKnown
-    if (sinceContactMs === undefined || !interval) return undefined
+    if (silentMs === undefined || !interval) return undefined
     const nowMs = this.#opts.clock.nowMs()
-    return { silentMs: sinceContactMs, answeredMs: nowMs - interval.lastMs, answeringMs: nowMs - interval.sinceMs }
+    return { silentMs, answeredMs: nowMs - interval.lastMs, answeringMs: nowMs - interval.sinceMs }
   }
 
   /** Calls the listener when the platform answers again after an outage in which entries may have expired. */
@@ -82,7 +82,7 @@
     this.#reachable = reachable
   }
 
-  recordAnswer (): void {
+  answered (): void {
     const nowMs = this.#opts.clock.nowMs()
     this.#recordContact(nowMs)
     this.#merge({ sinceMs: nowMs, lastMs: nowMs })
--- a/box/runtime/src/reconciler.ts
+++ b/box/runtime/src/reconciler.ts
@@ -25,7 +25,7 @@
   constructor (parts: BoxParts, tasks: TaskGroup) {
     this.#parts = parts
     this.#tasks = tasks
-    this.#fleetChangeLogger = new FleetChangeLogger({ fleet: parts.fleet, log: parts.log, sincePlatformContactMs: () => parts.platformContact.sinceContactMs })
+    this.#fleetChangeLogger = new FleetChangeLogger({ fleet: parts.fleet, log: parts.log, platformSilentMs: () => parts.platformContact.silentMs })
   }
 
   /** Whether this box has adopted a configuration. */
@@ -37,7 +37,7 @@
     Object.values(Collection).forEach((collection) => this.#tasks.run(() => this.#onRevisions(collection)))
     this.#parts.platformContact.onRegained(() => this.#tasks.run(() => this.#reconcileAfterReentry()))
     this.#reconcile()
-    // A shard that this box no longer schedules is kept while reservations remain, and removed by a later pass.
+    // A shard that this box no longer schedules is kept until its scheduler is idle, and removed by a later pass.
     this.#tasks.repeat(async () => this.#reconcile(), { periodMs: RECONCILE_PERIOD_MS })
   }
 
--- a/box/runtime/test/fleetChangeLogger.ts
+++ b/box/runtime/test/fleetChangeLogger.ts
@@ -1,4 +1,4 @@
-import { FleetChanges } from '@reelspan/box.runtime'
+import { FleetChangeLogger } from '@reelspan/box.runtime'
 import { FleetList, GuardedFleet, type ListedUpstream, UpstreamKind } from '@reelspan/config.fleet'
 import { LogEvent } from '@reelspan/telemetry.log'
 import { SilentLog } from '@reelspan/utils.fake-fleet'
@@ -14,7 +14,7 @@
   const guard = { lapsed: false }
   const log = new SilentLog()
   const fleet = new GuardedFleet({ clock: new VirtualClock(), listed, mayHaveLapsed: () => guard.lapsed })
-  const changes = new FleetChanges({ fleet, log, sincePlatformContactMs: () => 1234.5 })
+  const changes = new FleetChangeLogger({ fleet, log, platformSilentMs: () => 1234.5 })
   const list = (...upstreams: ListedUpstream[]) => {
     Object.assign(listed, { value: new FleetList([], upstreams), revision: listed.revision + 1 })
     changes.logChanges({ era: 0, revision: listed.revision })
--- a/box/runtime/test/platformContactTracker.ts
+++ b/box/runtime/test/platformContactTracker.ts
@@ -1,4 +1,4 @@
-import { PlatformContactWatch } from '@reelspan/box.runtime'
+import { PlatformContactTracker } from '@reelspan/box.runtime'
 import { REENTRY_MS } from '@reelspan/config.fleet'
 import { Collection } from '@reelspan/core.messages'
 import { LogEvent } from '@reelspan/telemetry.log'
@@ -6,139 +6,139 @@
 import { SilentLog } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
 
-function createWatch ({ isWatcher = true, lastAnswerMs = Number.NEGATIVE_INFINITY } = {}) {
+function createTracker ({ isWatcher = true, lastAnswerMs = Number.NEGATIVE_INFINITY } = {}) {
   const clock = new VirtualClock()
   const log = new SilentLog()
-  return { clock, log, watch: new PlatformContactWatch({ clock, log, isWatcher: () => isWatcher, lastAnswerMs: () => lastAnswerMs }) }
+  return { clock, log, tracker: new PlatformContactTracker({ clock, log, isWatcher: () => isWatcher, lastAnswerMs: () => lastAnswerMs }) }
 }
 
 test('entries may have expired after a long platform outage, until upstreams had time to register again', async (t) => {
-  const { clock, watch } = createWatch()
+  const { clock, tracker } = createTracker()
   let calls = 0
-  watch.onRegained(() => { calls++ })
-  watch.recordReachability(false, { collection: Collection.Fleet, silentMs: 1000, reason: 'reset' })
-  t.false(watch.mayHaveLapsed)
+  tracker.onRegained(() => { calls++ })
+  tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 1000, reason: 'reset' })
+  t.false(tracker.mayHaveLapsed)
   await clock.advance(4000)
-  t.true(watch.mayHaveLapsed)
-  watch.recordReachability(true, { collection: Collection.Fleet, silentMs: 5000 })
-  t.true(watch.mayHaveLapsed)
+  t.true(tracker.mayHaveLapsed)
+  tracker.recordReachability(true, { collection: Collection.Fleet, silentMs: 5000 })
+  t.true(tracker.mayHaveLapsed)
   t.is(calls, 1)
   await clock.advance(REENTRY_MS)
-  t.false(watch.mayHaveLapsed)
+  t.false(tracker.mayHaveLapsed)
 })
 
 test('a short outage expires no entries', async (t) => {
-  const { clock, watch } = createWatch()
-  watch.recordReachability(false, { collection: Collection.Fleet, silentMs: 100 })
+  const { clock, tracker } = createTracker()
+  tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 100 })
   await clock.advance(500)
-  watch.recordReachability(true, { collection: Collection.Fleet, silentMs: 600 })
-  t.false(watch.mayHaveLapsed)
+  tracker.recordReachability(true, { collection: Collection.Fleet, silentMs: 600 })
+  t.false(tracker.mayHaveLapsed)
 })
 
 test('lost and regained contact with the platform is logged with its duration', (t) => {
-  const { log, watch } = createWatch()
-  watch.recordReachability(false, { collection: Collection.Declarations, silentMs: 100, reason: 'reset' })
-  watch.recordReachability(true, { collection: Collection.Declarations, silentMs: 600 })
+  const { log, tracker } = createTracker()
+  tracker.recordReachability(false, { collection: Collection.Declarations, silentMs: 100, reason: 'reset' })
+  tracker.recordReachability(true, { collection: Collection.Declarations, silentMs: 600 })
   t.deepEqual(log.entries.map(({ event, fields }) => [event, fields?.silentMs]), [[LogEvent.DependencyLost, 100], [LogEvent.DependencyRegained, 600]])
 })
 
 test('no entries expire while the platform answers other boxes, even if this box cannot reach it', async (t) => {
-  const { clock, watch } = createWatch({ isWatcher: false })
-  watch.recordAnswer()
-  watch.recordReachability(false, { collection: Collection.Fleet, silentMs: 100, reason: 'reset' })
+  const { clock, tracker } = createTracker({ isWatcher: false })
+  tracker.answered()
+  tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 100, reason: 'reset' })
   for (let i = 0; i < 20; i++) {
     await clock.advance(700)
-    watch.receivePeerReport({ silentMs: 300, answeredMs: 300, answeringMs: 300 })
+    tracker.receivePeerReport({ silentMs: 300, answeredMs: 300, answeringMs: 300 })
   }
-  t.false(watch.mayHaveLapsed)
+  t.false(tracker.mayHaveLapsed)
 })
 
 test('a box that rarely polls the platform learns from its peers that an outage has started and ended', async (t) => {
-  const { clock, watch } = createWatch({ isWatcher: false })
-  watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
+  const { clock, tracker } = createTracker({ isWatcher: false })
+  tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
   for (let silentMs = 700; silentMs < 5000; silentMs += 700) {
     await clock.advance(700)
-    watch.receivePeerReport({ silentMs, answeredMs: silentMs, answeringMs: silentMs })
+    tracker.receivePeerReport({ silentMs, answeredMs: silentMs, answeringMs: silentMs })
   }
-  t.true(watch.mayHaveLapsed)
-  watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
-  t.true(watch.mayHaveLapsed, 'upstreams may still register again')
+  t.true(tracker.mayHaveLapsed)
+  tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
+  t.true(tracker.mayHaveLapsed, 'upstreams may still register again')
   await clock.advance(REENTRY_MS)
-  watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
-  t.false(watch.mayHaveLapsed)
+  tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
+  t.false(tracker.mayHaveLapsed)
 })
 
 test('a pending watch counts as contact until it fails', async (t) => {
-  const { clock, watch } = createWatch()
-  watch.recordAnswer()
+  const { clock, tracker } = createTracker()
+  tracker.answered()
   await clock.advance(20_000)
-  t.is(watch.sinceContactMs, 0)
-  watch.recordReachability(false, { collection: Collection.Fleet, silentMs: 4000 })
-  t.is(watch.sinceContactMs, 4000)
-  t.true(watch.mayHaveLapsed)
+  t.is(tracker.silentMs, 0)
+  tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 4000 })
+  t.is(tracker.silentMs, 4000)
+  t.true(tracker.mayHaveLapsed)
 })
 
 test('the first answer ends no outage', (t) => {
-  const { watch } = createWatch({ isWatcher: false })
-  t.is(watch.sinceContactMs, undefined)
-  watch.recordAnswer()
-  t.is(watch.sinceContactMs, 0)
-  t.false(watch.mayHaveLapsed)
+  const { tracker } = createTracker({ isWatcher: false })
+  t.is(tracker.silentMs, undefined)
+  tracker.answered()
+  t.is(tracker.silentMs, 0)
+  t.false(tracker.mayHaveLapsed)
 })
 
 test('a peer that kept contact shows that nothing expired while this box had no contact', async (t) => {
-  const { clock, watch } = createWatch()
-  watch.recordAnswer()
+  const { clock, tracker } = createTracker()
+  tracker.answered()
   await clock.advance(5000)
-  watch.recordReachability(false, { collection: Collection.Fleet, silentMs: 5000, reason: 'reset' })
-  t.true(watch.mayHaveLapsed)
+  tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 5000, reason: 'reset' })
+  t.true(tracker.mayHaveLapsed)
   await clock.advance(5000)
-  watch.recordReachability(true, { collection: Collection.Fleet, silentMs: 10_000 })
-  t.true(watch.mayHaveLapsed, 'as far as this box knows by itself')
-  watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
-  t.false(watch.mayHaveLapsed)
-  t.deepEqual(watch.answering, { silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
+  tracker.recordReachability(true, { collection: Collection.Fleet, silentMs: 10_000 })
+  t.true(tracker.mayHaveLapsed, 'as far as this box knows by itself')
+  tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
+  t.false(tracker.mayHaveLapsed)
+  t.deepEqual(tracker.answering, { silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
 })
 
 test('the time to register again starts with the first answer that any box got', async (t) => {
-  const { clock, watch } = createWatch({ isWatcher: false })
-  watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
+  const { clock, tracker } = createTracker({ isWatcher: false })
+  tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
   await clock.advance(8000)
-  watch.recordAnswer()
+  tracker.answered()
   await clock.advance(500)
-  watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 2000 })
-  t.true(watch.mayHaveLapsed)
+  tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 2000 })
+  t.true(tracker.mayHaveLapsed)
   await clock.advance(REENTRY_MS - 2000)
-  t.false(watch.mayHaveLapsed)
+  t.false(tracker.mayHaveLapsed)
 })
 
 test('a peer report from before the outage does not shorten the outage', async (t) => {
-  const { clock, watch } = createWatch({ isWatcher: false })
-  watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
+  const { clock, tracker } = createTracker({ isWatcher: false })
+  tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
   await clock.advance(8000)
-  watch.recordAnswer()
-  watch.receivePeerReport({ silentMs: 8000, answeredMs: 8000, answeringMs: 70_000 })
-  t.true(watch.mayHaveLapsed)
-  t.is(watch.sinceContactMs, 0)
+  tracker.answered()
+  tracker.receivePeerReport({ silentMs: 8000, answeredMs: 8000, answeringMs: 70_000 })
+  t.true(tracker.mayHaveLapsed)
+  t.is(tracker.silentMs, 0)
 })
 
 test('a failed watch does not count as contact, whatever peers reported meanwhile', async (t) => {
-  const { clock, watch } = createWatch()
-  watch.recordAnswer()
+  const { clock, tracker } = createTracker()
+  tracker.answered()
   await clock.advance(2000)
-  watch.receivePeerReport({ silentMs: 1500, answeredMs: 1500, answeringMs: 30_000 })
+  tracker.receivePeerReport({ silentMs: 1500, answeredMs: 1500, answeringMs: 30_000 })
   await clock.advance(2000)
-  watch.recordReachability(false, { collection: Collection.Fleet, silentMs: 4000 })
-  t.is(watch.sinceContactMs, 3500)
+  tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 4000 })
+  t.is(tracker.silentMs, 3500)
 })
 
 test('a peer whose watch has not failed yet does not shorten an outage', async (t) => {
-  const { clock, watch } = createWatch({ isWatcher: false })
-  watch.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
+  const { clock, tracker } = createTracker({ isWatcher: false })
+  tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
   await clock.advance(2900)
-  watch.receivePeerReport({ silentMs: 0, answeredMs: 2900, answeringMs: 62_900 })
-  t.false(watch.mayHaveLapsed, 'no box has detected an outage')
+  tracker.receivePeerReport({ silentMs: 0, answeredMs: 2900, answeringMs: 62_900 })
+  t.false(tracker.mayHaveLapsed, 'no box has detected an outage')
   await clock.advance(2000)
-  watch.recordAnswer()
-  t.true(watch.mayHaveLapsed, 'the platform answered no box for 4.9 s')
+  tracker.answered()
+  t.true(tracker.mayHaveLapsed, 'the platform answered no box for 4.9 s')
 })
--- a/box/runtime/test/upstreamLimitShared.ts
+++ b/box/runtime/test/upstreamLimitShared.ts
@@ -42,11 +42,11 @@
     advertiseLimits(fleet, limitAllDesks(perSecond))
     await load(fleet, { target: '/status/', perSecond: 40, seconds: PROPAGATION_MS / 1000, name: 'first' })
     const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 12 })
-    const seen = SERVICES.map((upstream) => ({ upstream, peak: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), used: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 12 }) }))
+    const seen = SERVICES.map((upstream) => ({ upstream, peak: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), taken: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 12 }) }))
     t.log(seen)
-    seen.forEach(({ peak, used }) => {
+    seen.forEach(({ peak, taken }) => {
       t.true(peak <= 1)
-      t.true(used >= MIN_USED_SHARE)
+      t.true(taken >= MIN_USED_SHARE)
     })
     checkRefusals(t, fleet, refusedOutcomes(outcomes))
     await fleet.stop()
@@ -69,11 +69,11 @@
   advertiseLimits(fleet, Object.fromEntries(engines.map((name) => [name, perSecond])))
   await load(fleet, { target: '/draft/', perSecond: 20, seconds: PROPAGATION_MS / 1000, name: 'first' })
   const outcomes = await load(fleet, { target: '/draft/', perSecond: 20, seconds: 36 })
-  const seen = engines.map((upstream) => ({ upstream, peak: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), used: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 36 }) }))
+  const seen = engines.map((upstream) => ({ upstream, peak: peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }), taken: usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 36 }) }))
   t.log(seen, refusedOutcomes(outcomes).length)
-  seen.forEach(({ peak, used }) => {
+  seen.forEach(({ peak, taken }) => {
     t.true(peak <= 1)
-    t.true(used >= MIN_USED_SHARE)
+    t.true(taken >= MIN_USED_SHARE)
   })
   const ran = new Set(fleet.relayed.arrivals.map(({ id }) => id))
   refusedOutcomes(outcomes).forEach(({ caller }) => t.is(caller.refused?.verdict, Verdict.NotRun))
@@ -281,10 +281,10 @@
       const excludedAddresses = (await fleet.clock.run(affectedBoxes)).map((name) => fleet.address(name))
       const all = SERVICES.map((upstream) => peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs }))
       const counted = SERVICES.map((upstream) => peakUsageAt(fleet, upstream, { perSecond, advertisedAtMs, excludedAddresses }))
-      const used = SERVICES.map((upstream) => usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 14 }))
-      t.log({ coordinator, all, counted, taken: used })
+      const taken = SERVICES.map((upstream) => usedShareAt(fleet, upstream, perSecond, { advertisedAtMs, seconds: 14 }))
+      t.log({ coordinator, all, counted, taken })
       counted.forEach((peak) => t.true(peak <= 1))
-      used.forEach((share) => t.true(share >= MIN_USED_SHARE - 0.25))
+      taken.forEach((share) => t.true(share >= MIN_USED_SHARE - 0.25))
       await fleet.stop()
     })
   }
--- a/box/runtime/test/watcherRole.ts
+++ b/box/runtime/test/watcherRole.ts
@@ -24,7 +24,7 @@
     incarnations.filter((other) => other !== incarnation).forEach((other) => view.merge(member(other), 0))
     return { incarnation, view, role: new WatcherRole({ clock, settings, view, lastMajorityContactMs: () => contact.atMs }) }
   })
-  return { clock, contact, roles, watching: () => roles.filter(({ role }) => role.isWatcher()).map(({ incarnation }) => incarnation) }
+  return { clock, contact, roles, watching: () => roles.filter(({ role }) => role.holds()).map(({ incarnation }) => incarnation) }
 }
 
 test('the configured number of boxes per zone watch the platform, and all boxes agree on which', (t) => {
