--- a/box/runtime/src/createAccountParts.ts
+++ b/box/runtime/src/createAccountParts.ts
@@ -48,24 +48,24 @@
 /** Token buckets of the client accounts that this box coordinates. */
 export function createAccountBuckets (parts: BoxParts): LimitBook {
   const { clock, view } = parts
-  return new LimitBook({ clock, planOf: (account) => planOf(parts, account, reachableShare(view)) })
+  return new LimitBook({ clock, planOf: (account) => configOf(parts, account, reachableShare(view)) })
 }
 
 export function createLimiter (parts: BoxParts): HomeLimiter {
   const { clock, link, accountBuckets, view } = parts
-  const isolatedLimiter = new EvenShareLimiter({ clock, planOf: (account) => planOf(parts, account, singleBoxShare(view)) })
-  const limiter = new HomeLimiter({ clock, link, messages: new AccountMessages(), book: accountBuckets, alone: isolatedLimiter, members: () => view.takingWork(), self: () => view.self })
+  const localLimiter = new EvenShareLimiter({ clock, planOf: (account) => configOf(parts, account, singleBoxShare(view)) })
+  const limiter = new HomeLimiter({ clock, link, messages: new AccountMessages(), book: accountBuckets, alone: localLimiter, members: () => view.takingWork(), self: () => view.self })
   view.onChange(() => accountBuckets.retain((account) => limiter.isHome(account)))
   return limiter
 }
 
 export function createAdmission (parts: BoxParts): Admission {
   const { clock, declarations, limiter, log, metrics, proof, settings } = parts
-  const accessWait = new AccessPatience({ clock, changed: (signal) => declarations.waitAbove(declarations.revision, signal) })
-  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof, limiter, patience: accessWait, log, metrics })
+  const unknownKeyWaiter = new AccessPatience({ clock, changed: (signal) => declarations.waitAbove(declarations.revision, signal) })
+  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof, limiter, patience: unknownKeyWaiter, log, metrics })
 }
 
-function planOf (parts: BoxParts, account: string, share: number): BucketPlan | undefined {
+function configOf (parts: BoxParts, account: string, share: number): BucketPlan | undefined {
   const limit = parts.declarations.value.account(account)?.limit
   return limit && accountBucket(limit, toleranceOf(parts), share)
 }
--- a/box/runtime/src/createConfigParts.ts
+++ b/box/runtime/src/createConfigParts.ts
@@ -26,7 +26,7 @@
   return new GuardedFleet({
     clock,
     listed: fleetList,
-    mayHaveLapsed: () => platformContact.mayHaveLapsed,
+    mayHaveLapsed: () => platformContact.mayHaveExpired,
     draining: {
       get revision () { return parts.upstreamStates.drainingRevision },
       has: (upstream) => parts.upstreamStates.isDraining(upstream),
--- a/box/runtime/src/createLimitParts.ts
+++ b/box/runtime/src/createLimitParts.ts
@@ -13,14 +13,14 @@
 export function createPermitLimiter (parts: BoxParts): HomeLimiter {
   const { clock, link, permitBuckets, random, upstreamStates, view } = parts
   // Boxes that lose their coordinator at the same moment start with random bucket levels, so that their first permits are spread over time.
-  const isolatedLimiter = new EvenShareLimiter({ clock, planOf: (upstream) => permitBucketOf(upstreamStates, upstream, singleBoxShare(view), random.nextFloat()) })
+  const localLimiter = new EvenShareLimiter({ clock, planOf: (upstream) => permitBucketOf(upstreamStates, upstream, singleBoxShare(view), random.nextFloat()) })
   const limiter = new HomeLimiter({
     clock,
     link,
     messages: new PermitMessages((upstream) => upstreamStates.updateOf(upstream)),
     book: permitBuckets,
-    alone: isolatedLimiter,
-    onHomeAnswered: (upstream) => isolatedLimiter.forget(upstream),
+    alone: localLimiter,
+    onHomeAnswered: (upstream) => localLimiter.forget(upstream),
     members: () => view.takingWork(),
     self: () => view.self,
   })
--- a/box/runtime/src/platformContactTracker.ts
+++ b/box/runtime/src/platformContactTracker.ts
@@ -20,7 +20,7 @@
 }
 
 /** Entries of upstreams expire after about three missed heartbeats of about a second each. A shorter outage expires none. */
-const MIN_ENTRY_LAPSE_MS = 3000
+const MIN_OUTAGE_TO_EXPIRE_MS = 3000
 
 /**
  * Tracks whether the platform answers any box: this one, or peers, which report since when it has answered.
@@ -42,8 +42,8 @@
     this.#opts = opts
   }
 
-  get mayHaveLapsed (): boolean {
-    if ((this.silentMs ?? 0) >= MIN_ENTRY_LAPSE_MS) return true
+  get mayHaveExpired (): boolean {
+    if ((this.silentMs ?? 0) >= MIN_OUTAGE_TO_EXPIRE_MS) return true
     return this.#previous !== undefined && this.#latest !== undefined && this.#opts.clock.nowMs() < this.#latest.sinceMs + REENTRY_MS
   }
 
@@ -135,7 +135,7 @@
 
 /** Whether entries may have expired between the end of the earlier interval and the start of the later one. */
 function hasGap (earlier: ContactInterval, later: ContactInterval): boolean {
-  return later.sinceMs - earlier.lastMs >= MIN_ENTRY_LAPSE_MS
+  return later.sinceMs - earlier.lastMs >= MIN_OUTAGE_TO_EXPIRE_MS
 }
 
 function union (a: ContactInterval, b: ContactInterval): ContactInterval {
--- a/box/runtime/src/shardManager.ts
+++ b/box/runtime/src/shardManager.ts
@@ -11,7 +11,7 @@
   engines: EngineClient
   scheduler: ShardScheduler
   sweeper: HoldSweeper
-  right: OrderRight
+  lease: OrderRight
   configuration: () => Configuration
   reportPeriodMs: number
   onOrder: OrderControllerOptions['onOrder']
@@ -29,7 +29,7 @@
 /** Manages a shard at its scheduler's box: polls the engines, releases holds that no owner confirms, and sends orders. */
 export class ShardManager {
   readonly scheduler: ShardScheduler
-  readonly right: OrderRight
+  readonly lease: OrderRight
   readonly #opts: ShardManagerOptions
   readonly #tasks: TaskGroup
   readonly #orders: OrderController
@@ -41,11 +41,11 @@
   constructor (opts: ShardManagerOptions) {
     this.#opts = opts
     this.scheduler = opts.scheduler
-    this.right = opts.right
+    this.lease = opts.lease
     this.#tasks = new TaskGroup(opts.clock, opts.onTaskError)
     const orderTimeoutMs = opts.reportPeriodMs * 2
-    this.#orders = new OrderController({ ...opts, orderTimeoutMs })
-    this.#balancer = opts.roles && new RoleBalancer({ ...opts, ...opts.roles, orderTimeoutMs })
+    this.#orders = new OrderController({ ...opts, right: opts.lease, orderTimeoutMs })
+    this.#balancer = opts.roles && new RoleBalancer({ ...opts, ...opts.roles, right: opts.lease, orderTimeoutMs })
   }
 
   start (): void {
@@ -54,7 +54,7 @@
 
   /** State for the debug endpoint. */
   describe () {
-    return { ...this.scheduler.describe(), mayOrder: this.right.holds(), roles: this.#balancer?.plan }
+    return { ...this.scheduler.describe(), mayOrder: this.lease.holds(), roles: this.#balancer?.plan }
   }
 
   async stop (): Promise<void> {
@@ -74,7 +74,7 @@
   async #poll (): Promise<void> {
     this.#passCount++
     await Promise.all(this.scheduler.ledger.allEngines().map((engine) => this.#pollEngine(engine)))
-    if (this.right.holds()) await this.#sendOrders()
+    if (this.lease.holds()) await this.#sendOrders()
     else this.#balancer?.standDown()
   }
 
--- a/box/runtime/src/shardManagers.ts
+++ b/box/runtime/src/shardManagers.ts
@@ -79,13 +79,13 @@
     const members = view.takingWork()
     shards.forEach((shard) => {
       const isScheduler = schedulerOf(shard, members)?.incarnation === view.self.incarnation
-      if (isScheduler) this.#managerOf(shard).right.take()
-      else this.#managers.get(shard.id)?.right.giveUp()
+      if (isScheduler) this.#managerOf(shard).lease.take()
+      else this.#managers.get(shard.id)?.lease.giveUp()
       this.#managers.get(shard.id)?.scheduler.update(shard)
     })
     const ids = new Set(shards.map(({ id }) => id))
     this.#managers.forEach((manager, id) => {
-      if (!ids.has(id) || (!manager.right.taken && manager.scheduler.idle)) this.#removeManager(id, manager)
+      if (!ids.has(id) || (!manager.lease.taken && manager.scheduler.idle)) this.#removeManager(id, manager)
     })
   }
 
@@ -132,7 +132,7 @@
       engines,
       scheduler,
       sweeper: this.#createSweeper(scheduler),
-      right: new OrderRight({ clock, lifeMs: orderRightMs, lastContactMs, pauses: pauseDetector }),
+      lease: new OrderRight({ clock, lifeMs: orderRightMs, lastContactMs, pauses: pauseDetector }),
       configuration: () => declarations.value,
       reportPeriodMs,
       onTaskError: (thrown) => failures.recordTask('shardKeeper', thrown),
--- a/box/runtime/test/platformContactTracker.ts
+++ b/box/runtime/test/platformContactTracker.ts
@@ -17,14 +17,14 @@
   let calls = 0
   tracker.onRegained(() => { calls++ })
   tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 1000, reason: 'reset' })
-  t.false(tracker.mayHaveLapsed)
+  t.false(tracker.mayHaveExpired)
   await clock.advance(4000)
-  t.true(tracker.mayHaveLapsed)
+  t.true(tracker.mayHaveExpired)
   tracker.recordReachability(true, { collection: Collection.Fleet, silentMs: 5000 })
-  t.true(tracker.mayHaveLapsed)
+  t.true(tracker.mayHaveExpired)
   t.is(calls, 1)
   await clock.advance(REENTRY_MS)
-  t.false(tracker.mayHaveLapsed)
+  t.false(tracker.mayHaveExpired)
 })
 
 test('a short outage expires no entries', async (t) => {
@@ -32,7 +32,7 @@
   tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 100 })
   await clock.advance(500)
   tracker.recordReachability(true, { collection: Collection.Fleet, silentMs: 600 })
-  t.false(tracker.mayHaveLapsed)
+  t.false(tracker.mayHaveExpired)
 })
 
 test('lost and regained contact with the platform is logged with its duration', (t) => {
@@ -50,7 +50,7 @@
     await clock.advance(700)
     tracker.receivePeerReport({ silentMs: 300, answeredMs: 300, answeringMs: 300 })
   }
-  t.false(tracker.mayHaveLapsed)
+  t.false(tracker.mayHaveExpired)
 })
 
 test('a box that rarely polls the platform learns from its peers that an outage has started and ended', async (t) => {
@@ -60,12 +60,12 @@
     await clock.advance(700)
     tracker.receivePeerReport({ silentMs, answeredMs: silentMs, answeringMs: silentMs })
   }
-  t.true(tracker.mayHaveLapsed)
+  t.true(tracker.mayHaveExpired)
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
-  t.true(tracker.mayHaveLapsed, 'upstreams may still register again')
+  t.true(tracker.mayHaveExpired, 'upstreams may still register again')
   await clock.advance(REENTRY_MS)
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
-  t.false(tracker.mayHaveLapsed)
+  t.false(tracker.mayHaveExpired)
 })
 
 test('a pending watch counts as contact until it fails', async (t) => {
@@ -75,7 +75,7 @@
   t.is(tracker.silentMs, 0)
   tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 4000 })
   t.is(tracker.silentMs, 4000)
-  t.true(tracker.mayHaveLapsed)
+  t.true(tracker.mayHaveExpired)
 })
 
 test('the first answer ends no outage', (t) => {
@@ -83,7 +83,7 @@
   t.is(tracker.silentMs, undefined)
   tracker.answered()
   t.is(tracker.silentMs, 0)
-  t.false(tracker.mayHaveLapsed)
+  t.false(tracker.mayHaveExpired)
 })
 
 test('a peer that kept contact shows that nothing expired while this box had no contact', async (t) => {
@@ -91,12 +91,12 @@
   tracker.answered()
   await clock.advance(5000)
   tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 5000, reason: 'reset' })
-  t.true(tracker.mayHaveLapsed)
+  t.true(tracker.mayHaveExpired)
   await clock.advance(5000)
   tracker.recordReachability(true, { collection: Collection.Fleet, silentMs: 10_000 })
-  t.true(tracker.mayHaveLapsed, 'as far as this box knows by itself')
+  t.true(tracker.mayHaveExpired, 'as far as this box knows by itself')
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
-  t.false(tracker.mayHaveLapsed)
+  t.false(tracker.mayHaveExpired)
   t.deepEqual(tracker.answering, { silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
 })
 
@@ -107,9 +107,9 @@
   tracker.answered()
   await clock.advance(500)
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 2000 })
-  t.true(tracker.mayHaveLapsed)
+  t.true(tracker.mayHaveExpired)
   await clock.advance(REENTRY_MS - 2000)
-  t.false(tracker.mayHaveLapsed)
+  t.false(tracker.mayHaveExpired)
 })
 
 test('a peer report from before the outage does not shorten the outage', async (t) => {
@@ -118,7 +118,7 @@
   await clock.advance(8000)
   tracker.answered()
   tracker.receivePeerReport({ silentMs: 8000, answeredMs: 8000, answeringMs: 70_000 })
-  t.true(tracker.mayHaveLapsed)
+  t.true(tracker.mayHaveExpired)
   t.is(tracker.silentMs, 0)
 })
 
@@ -137,8 +137,8 @@
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
   await clock.advance(2900)
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 2900, answeringMs: 62_900 })
-  t.false(tracker.mayHaveLapsed, 'no box has detected an outage')
+  t.false(tracker.mayHaveExpired, 'no box has detected an outage')
   await clock.advance(2000)
   tracker.answered()
-  t.true(tracker.mayHaveLapsed, 'the platform answered no box for 4.9 s')
+  t.true(tracker.mayHaveExpired, 'the platform answered no box for 4.9 s')
 })
