--- a/box/runtime/src/box.ts
+++ b/box/runtime/src/box.ts
@@ -258,7 +258,10 @@
     for (let waitedMs = 0; this.#callersBeingServed > 0 && waitedMs < timeoutMs; waitedMs += 50) await clock.sleep(50)
   }
 
-  /** Takes a new incarnation after the peers declared this box gone. It does so before it ends its requests, since another box may have taken them over from the old incarnation. */
+  /**
+   * Takes a new incarnation after the peers declared this box gone. Its requests end only afterwards,
+   * since another box may have taken them over from the old incarnation.
+   */
   #renewIncarnation (): void {
     const { view, log, clock, random, owner } = this.#parts
     view.takeIncarnation(generateIncarnation(random), clock.nowMs())
--- a/box/runtime/src/createLimitParts.ts
+++ b/box/runtime/src/createLimitParts.ts
@@ -5,7 +5,10 @@
 import { type BoxParts } from './boxParts.js'
 import { reachableShare, singleBoxShare } from './limitShares.js'
 
-/** Token buckets of the upstreams whose permits this box coordinates. They start empty, since a previous coordinator may have granted permits that this box does not know of. */
+/**
+ * Token buckets of the upstreams whose permits this box coordinates. They start empty, since a previous
+ * coordinator may have granted permits that this box does not know of.
+ */
 export function createPermitBuckets ({ clock, upstreamStates, view }: BoxParts): LimitBook {
   return new LimitBook({ clock, planOf: (upstream) => permitBucketOf(upstreamStates, upstream, reachableShare(view), 0) })
 }
--- a/box/runtime/src/failureLog.ts
+++ b/box/runtime/src/failureLog.ts
@@ -30,7 +30,10 @@
 /** More than the number of boxes and engines that one box calls in a minute. */
 const MAX_TRACKED_FAILURES = 5000
 
-/** Logs failed calls that their callers recover from, and background tasks that failed unexpectedly, at a limited rate. The metrics count every failure. */
+/**
+ * Logs failed calls that their callers recover from, and background tasks that failed unexpectedly, at a limited rate.
+ * The metrics count every failure.
+ */
 export class FailureLog {
   readonly #opts: FailureLogOptions
   readonly #rate: RateLimit
--- a/box/runtime/src/requestRouter.ts
+++ b/box/runtime/src/requestRouter.ts
@@ -22,7 +22,10 @@
 /** The owner ends a request at its deadline; the final event may take this long to arrive. */
 const FINAL_EVENT_SLACK_MS = 500
 const MAX_SUCCESSORS = 16
-/** An owner must have been known as gone for this long before another box runs its requests. Longer than the shortest pause that a process detects in itself. */
+/**
+ * How long an owner must have been known as gone before another box runs its requests.
+ * Longer than the shortest pause that a process detects in itself.
+ */
 const MIN_GONE_BEFORE_TAKEOVER_MS = 1000
 
 /** The box to which a request is routed. */
--- a/box/runtime/test/accounts.ts
+++ b/box/runtime/test/accounts.ts
@@ -28,12 +28,12 @@
 
 let nextId = 0
 
-function ask (fleet: FakeFleet, box: string, key: string) {
+function sendRequest (fleet: FakeFleet, box: string, key: string) {
   return fleet.relay(box, { id: `r-${nextId++}`, host: HOST, target: '/status/1', prompt: undefined, keyDigest: keyDigest(key) })
 }
 
 async function refusalCode (fleet: FakeFleet, box: string, key: string): Promise<ErrorCode | undefined> {
-  return (await fleet.clock.run(ask(fleet, box, key))).refused?.code
+  return (await fleet.clock.run(sendRequest(fleet, box, key))).refused?.code
 }
 
 function revokeKey (fleet: FakeFleet): void {
@@ -72,7 +72,7 @@
   fleet.platform.silentTo.add(address)
   revokeKey(fleet)
   await fleet.clock.advance(KEY_PROOF_MS)
-  const late = await fleet.clock.run(ask(fleet, name, 'k1'))
+  const late = await fleet.clock.run(sendRequest(fleet, name, 'k1'))
   t.like(late.refused, { code: ErrorCode.AccountsUnproved, verdict: Verdict.NotRun })
   t.true((late.refused?.retryAfterMs ?? 0) > 0)
   t.is(await refusalCode(fleet, name, 'k2'), ErrorCode.AccountsUnproved)
@@ -140,7 +140,7 @@
   for (let i = 0; i < 1000; i++) {
     await fleet.clock.advance(10)
     const up = fleet.liveBoxes()
-    callers.push(ask(fleet, up[i % up.length].name, 'k1'))
+    callers.push(sendRequest(fleet, up[i % up.length].name, 'k1'))
   }
   await fleet.clock.run(Promise.all([restarts, ...callers]))
   const runs = fleet.relayed.arrivals.map(({ sentAtMs }) => ({ atMs: sentAtMs - from, cost: 1 }))
--- a/box/runtime/test/wholeAnswers.ts
+++ b/box/runtime/test/wholeAnswers.ts
@@ -5,7 +5,7 @@
 
 const PROMPT = promptFor('whole', { answerTokens: 40 })
 
-async function answerUnder (faults: Partial<EngineFaults>) {
+async function answerWithFaults (faults: Partial<EngineFaults>) {
   const fleet = await new FakeFleet({ boxCount: 4 }).start()
   fleet.engines.forEach((engine) => Object.assign(engine.faults, faults))
   const outcome = await fleet.clock.run(fleet.send('box-1', fleet.completion('box-1', PROMPT)))
@@ -14,15 +14,15 @@
 }
 
 test('tokens that arrive twice are sent to the caller once', async (t) => {
-  t.is((await answerUnder({ doubleTokens: true })).text, expectedAnswer(PROMPT, 64))
+  t.is((await answerWithFaults({ doubleTokens: true })).text, expectedAnswer(PROMPT, 64))
 })
 
 test('an aborted stream is resumed where it stopped', async (t) => {
-  t.is((await answerUnder({ breakAfterTokens: 7 })).text, expectedAnswer(PROMPT, 64))
+  t.is((await answerWithFaults({ breakAfterTokens: 7 })).text, expectedAnswer(PROMPT, 64))
 })
 
 test('an engine answer that belongs to another request is not passed on', async (t) => {
-  const outcome = await answerUnder({ crossAnswers: true })
+  const outcome = await answerWithFaults({ crossAnswers: true })
   t.is(outcome.verdict, Verdict.MayHaveRun)
   t.is(outcome.text, '')
 })
