--- a/box/runtime/test/accounts.ts
+++ b/box/runtime/test/accounts.ts
@@ -28,105 +28,105 @@
 
 let nextId = 0
 
-function ask (fleet: FakeFleet, box: string, key: string) {
+function sendRequest (fleet: FakeFleet, box: string, key: string) {
   return fleet.relay(box, { id: `r-${nextId++}`, host: HOST, target: '/status/1', prompt: undefined, keyDigest: keyDigest(key) })
 }
 
-async function code (fleet: FakeFleet, box: string, key: string): Promise<ErrorCode | undefined> {
-  return (await fleet.clock.run(ask(fleet, box, key))).refused?.code
+async function refusalCode (fleet: FakeFleet, box: string, key: string): Promise<ErrorCode | undefined> {
+  return (await fleet.clock.run(sendRequest(fleet, box, key))).refused?.code
 }
 
-function takeAway (fleet: FakeFleet): void {
+function revokeKey (fleet: FakeFleet): void {
   fleet.platform.publish(Collection.Declarations, [accountWith(['k2'])])
 }
 
-test('a key that was taken away stops to work at every box within a second, and the others go on', async (t) => {
+test('a revoked key is refused at every box within a second, while the other keys keep working', async (t) => {
   const fleet = await startFleet()
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(1000)
   for (const { name } of fleet.boxes) {
-    t.is(await code(fleet, name, 'k1'), ErrorCode.AccountKey)
-    t.is(await code(fleet, name, 'k2'), undefined)
+    t.is(await refusalCode(fleet, name, 'k1'), ErrorCode.AccountKey)
+    t.is(await refusalCode(fleet, name, 'k2'), undefined)
   }
   await fleet.stop()
 })
 
-test('boxes that the platform turns away keep their proof by their peers, and learn which keys go', async (t) => {
+test('boxes that cannot reach the platform renew their freshness proof through peers, and apply revocations', async (t) => {
   const fleet = await startFleet()
-  const blind = fleet.boxes.slice(0, 3)
-  blind.forEach(({ address }) => fleet.platform.silentTo.add(address))
+  const cutOff = fleet.boxes.slice(0, 3)
+  cutOff.forEach(({ address }) => fleet.platform.silentTo.add(address))
   await fleet.clock.advance(2 * KEY_PROOF_MS)
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(1500)
-  for (const { name } of blind) {
-    t.is(await code(fleet, name, 'k1'), ErrorCode.AccountKey)
-    t.is(await code(fleet, name, 'k2'), undefined)
+  for (const { name } of cutOff) {
+    t.is(await refusalCode(fleet, name, 'k1'), ErrorCode.AccountKey)
+    t.is(await refusalCode(fleet, name, 'k2'), undefined)
   }
   await fleet.stop()
 })
 
-test('a key that was taken away does not work after the bound at a box that is cut off, wherever its requests come, and other keys are refused there as not run', async (t) => {
+test('an isolated box refuses a revoked key once its freshness proof has expired, and refuses other keys as not run', async (t) => {
   const fleet = await startFleet()
   const { name, address } = fleet.boxes[0]
   fleet.cutOff(name)
   fleet.platform.silentTo.add(address)
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(KEY_PROOF_MS)
-  const late = await fleet.clock.run(ask(fleet, name, 'k1'))
+  const late = await fleet.clock.run(sendRequest(fleet, name, 'k1'))
   t.like(late.refused, { code: ErrorCode.AccountsUnproved, verdict: Verdict.NotRun })
   t.true((late.refused?.retryAfterMs ?? 0) > 0)
-  t.is(await code(fleet, name, 'k2'), ErrorCode.AccountsUnproved)
+  t.is(await refusalCode(fleet, name, 'k2'), ErrorCode.AccountsUnproved)
   t.false(fleet.box(name).box.admission.isProved)
   await fleet.stop()
 })
 
-test('boxes that see each other alone have no proof after the bound', async (t) => {
+test('boxes that reach only each other lose their freshness proof after the bound', async (t) => {
   const fleet = await startFleet()
   fleet.boxes.forEach(({ address }) => fleet.platform.silentTo.add(address))
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(KEY_PROOF_MS)
-  for (const { name } of fleet.boxes) t.is(await code(fleet, name, 'k1'), ErrorCode.AccountsUnproved)
+  for (const { name } of fleet.boxes) t.is(await refusalCode(fleet, name, 'k1'), ErrorCode.AccountsUnproved)
   fleet.platform.silentTo.clear()
   await fleet.clock.advance(2500)
-  for (const { name } of fleet.boxes) t.is(await code(fleet, name, 'k2'), undefined)
+  for (const { name } of fleet.boxes) t.is(await refusalCode(fleet, name, 'k2'), undefined)
   await fleet.stop()
 })
 
-test('a box that was paused does not take a key that went meanwhile', async (t) => {
+test('a box that was paused does not accept a key that was revoked meanwhile', async (t) => {
   const fleet = await startFleet()
   const { name, clock } = fleet.boxes[0]
   clock.pause()
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.advance(KEY_PROOF_MS + 1000)
   clock.resume()
-  t.not(await code(fleet, name, 'k1'), undefined)
+  t.not(await refusalCode(fleet, name, 'k1'), undefined)
   await fleet.stop()
 })
 
-test('a box whose machine was suspended does not take a key that went meanwhile', async (t) => {
+test('a box whose machine was suspended does not accept a key that was revoked meanwhile', async (t) => {
   const fleet = await startFleet()
   const { name, box, clock } = fleet.boxes[0]
   const suspended = clock.suspendFor(KEY_PROOF_MS + 1000)
-  takeAway(fleet)
+  revokeKey(fleet)
   await fleet.clock.run(suspended)
-  // As its clock does once it sees the time of day.
+  // In production the clock watch calls this when it sees the wall clock jump.
   void box.wasSuspended(KEY_PROOF_MS + 1000)
-  t.not(await code(fleet, name, 'k1'), undefined)
+  t.not(await refusalCode(fleet, name, 'k1'), undefined)
   await fleet.stop()
 })
 
-test('a box that starts while the platform is away has no proof, whatever configuration its peers give it', async (t) => {
+test('a box that starts during a platform outage has no freshness proof, whatever configuration it gets from peers', async (t) => {
   const fleet = await startFleet()
   fleet.boxes.forEach(({ address }) => fleet.platform.silentTo.add(address))
   await fleet.clock.advance(KEY_PROOF_MS)
   const { name } = fleet.boxes[0]
   fleet.kill(name)
   await fleet.clock.run(fleet.startBox(name))
-  t.is(await code(fleet, name, 'k1'), ErrorCode.AccountsUnproved)
+  t.is(await refusalCode(fleet, name, 'k1'), ErrorCode.AccountsUnproved)
   await fleet.stop()
 })
 
-test('an account is kept within its limit over all boxes, also when they all restart one after the other', async (t) => {
+test('an account stays within its limit across all boxes, even during a rolling restart', async (t) => {
   const fleet = await startFleet({}, accountWith(['k1'], true))
   const from = fleet.clock.nowMs()
   const restarts = (async () => {
@@ -140,7 +140,7 @@
   for (let i = 0; i < 1000; i++) {
     await fleet.clock.advance(10)
     const up = fleet.liveBoxes()
-    callers.push(ask(fleet, up[i % up.length].name, 'k1'))
+    callers.push(sendRequest(fleet, up[i % up.length].name, 'k1'))
   }
   await fleet.clock.run(Promise.all([restarts, ...callers]))
   const runs = fleet.relayed.arrivals.map(({ sentAtMs }) => ({ atMs: sentAtMs - from, cost: 1 }))
--- a/box/runtime/test/fleetChanges.ts
+++ b/box/runtime/test/fleetChangeLogger.ts
@@ -1,4 +1,4 @@
-import { FleetChanges } from '@reelspan/box.runtime'
+import { FleetChangeLogger } from '@reelspan/box.runtime'
 import { FleetList, GuardedFleet, type ListedUpstream, UpstreamKind } from '@reelspan/config.fleet'
 import { LogEvent } from '@reelspan/telemetry.log'
 import { SilentLog } from '@reelspan/utils.fake-fleet'
@@ -14,16 +14,16 @@
   const guard = { lapsed: false }
   const log = new SilentLog()
   const fleet = new GuardedFleet({ clock: new VirtualClock(), listed, mayHaveLapsed: () => guard.lapsed })
-  const changes = new FleetChanges({ fleet, log, platformSilentMs: () => 1234.5 })
+  const changes = new FleetChangeLogger({ fleet, log, platformSilentMs: () => 1234.5 })
   const list = (...upstreams: ListedUpstream[]) => {
     Object.assign(listed, { value: new FleetList([], upstreams), revision: listed.revision + 1 })
-    changes.note({ era: 0, revision: listed.revision })
+    changes.logChanges({ era: 0, revision: listed.revision })
     return log.entries.at(-1)?.fields
   }
   return { log, guard, list }
 }
 
-test('the log tells which upstreams came, leave and went, and by which revision', (t) => {
+test('logs which upstreams were added, are draining and were removed, with the revision', (t) => {
   const { log, list } = createChanges()
   t.like(list(upstream('1'), upstream('2')), { revision: 1, takingWork: ['1', '2'], leaving: [], gone: [] })
   t.like(list(upstream('1', true), upstream('2')), { revision: 2, takingWork: [], leaving: ['1'], gone: [], platformSilentMs: 1235 })
@@ -31,7 +31,7 @@
   t.deepEqual(log.entries.map(({ event }) => event), [LogEvent.UpstreamsChanged, LogEvent.UpstreamsChanged, LogEvent.UpstreamsChanged])
 })
 
-test('the log tells which upstreams are kept though they are not listed, and when they are dropped', (t) => {
+test('logs which upstreams are kept although not listed, and when they are dropped', (t) => {
   const { guard, list } = createChanges()
   list(upstream('1'), upstream('2'))
   guard.lapsed = true
@@ -40,7 +40,7 @@
   t.like(list(upstream('2')), { kept: [], gone: ['1'] })
 })
 
-test('a revision that changes no upstream is no line', (t) => {
+test('logs nothing for a revision that changes no upstream', (t) => {
   const { log, list } = createChanges()
   list(upstream('1'))
   list(upstream('1'))
