--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -131,8 +131,8 @@
   {
     name: 'one box keeps an upstream\'s permits for all',
     file: 'box/runtime/src/createLimitParts.ts',
-    find: 'waitMs: permitBook.take(upstream, cost)',
-    replace: 'waitMs: 0 * permitBook.take(upstream, cost)',
+    find: 'waitMs: permitBuckets.take(upstream, cost)',
+    replace: 'waitMs: 0 * permitBuckets.take(upstream, cost)',
     tests: [LIMITED],
   },
   {
@@ -186,7 +186,7 @@
   },
   {
     name: 'the scheduler sweeps what nobody vouches for',
-    file: 'box/runtime/src/shardKeeper.ts',
+    file: 'box/runtime/src/shardManager.ts',
     find: 'this.#tasks.run(() => this.#opts.sweeper.sweep(engine, report.holds))',
     replace: '',
     tests: [HOLDS],
@@ -313,7 +313,7 @@
   {
     name: 'a planned stop waits for what runs',
     file: 'box/runtime/src/plannedStop.ts',
-    find: 'await waitAtMost(opts, settings.requests.longestRequestMs)',
+    find: 'await waitForIdle(opts, settings.requests.longestRequestMs)',
     replace: '',
     tests: [LEAVING],
   },
