--- a/__utils__/bench/bin/fuzz.js
+++ b/__utils__/bench/bin/fuzz.js
@@ -6,4 +6,4 @@
 
 console.log(`seed ${seed}, ${values.runs} runs`)
 await runFuzz({ seed, runs: Number(values.runs), path: values.path, noShrink: values['no-shrink'] })
-console.log('all held')
+console.log('all properties held')
--- a/__utils__/bench/src/baselineReports.ts
+++ b/__utils__/bench/src/baselineReports.ts
@@ -1,2 +1,2 @@
-/** Baselines live by reports: they get fresher ones than a scheduler needs. */
-export const BASELINE_REPORTS = { reportPeriodMs: 500 }
+/** Baseline strategies place requests by engine reports alone, so they poll them more often than a scheduler needs to. */
+export const BASELINE_REPORT_SETTINGS = { reportPeriodMs: 500 }
--- a/__utils__/bench/src/bench.ts
+++ b/__utils__/bench/src/bench.ts
@@ -3,20 +3,20 @@
 import { PickerKind } from '@reelspan/scheduling.owner-alone'
 import { PrefixIndexKind } from '@reelspan/scheduling.prefix-index'
 import { SeededRandom } from '@reelspan/utils.fakes'
-import { BASELINE_REPORTS } from './baselineReports.js'
-import { Condition, impose } from './condition.js'
-import { drawLoad, type LoadRequest, type LoadShape, readShape } from './loadShape.js'
+import { BASELINE_REPORT_SETTINGS } from './baselineReports.js'
+import { Condition, injectFault } from './condition.js'
+import { generateLoad, type LoadRequest, type LoadShape, readShape } from './loadShape.js'
 import { ProcessFleet } from './processFleet.js'
 import { addStats, type EngineStats, readEngineStats } from './readEngineStats.js'
-import { readUsage, type Usage } from './readUsage.js'
+import { type FleetUsage, readUsage } from './readUsage.js'
 import { runLoad } from './runLoad.js'
 import { type LoadSummary, summarize } from './summarize.js'
 import { printTable } from './printTable.js'
 import { FLOOD_CLIENT, runVirtualLoad } from './runVirtualLoad.js'
 import { upperBound } from './upperBound.js'
 
-/** One run of the bench. */
-interface Cell {
+/** Parameters that differ between the runs of the benchmark. */
+interface BenchCase {
   strategy: string
   index: PrefixIndexKind
   admission: boolean
@@ -24,26 +24,28 @@
   condition: Condition
 }
 
-interface CellResult extends Cell {
+interface BenchResult extends BenchCase {
   summary: LoadSummary
+  /** Upper bound of the number of requests that the engines can serve. */
   bound: number
   seconds: number
   engines: EngineStats
+  /** Mean share of the engines' KV memory in use. */
   kvShare: number
-  usage: Usage
+  usage: FleetUsage
 }
 
 interface RunOptions {
   seed: number
   seconds: number
-  maxReturns: number
-  /** Virtual clock only: load of one more client account, as a part of all others'. */
+  maxRetries: number
+  /** Load of an additional client account, as a share of the load of all others. Virtual clock only. */
   floodShare: number
 }
 
 const WARM_UP_MS = 6000
-const FAULT_AFTER_MS = 2000
-const SAMPLE_MS = 500
+const FAULT_DELAY_MS = 2000
+const SAMPLE_PERIOD_MS = 500
 const CAPACITY = {
   prefillEngines: 3,
   prefillTokensPerSecond: 8000,
@@ -61,35 +63,35 @@
   loads: { type: 'string', default: '1,1.2,1.5' },
   strategies: { type: 'string', default: ['scheduler', ...Object.values(PickerKind)].join(',') },
   indexes: { type: 'string', default: PrefixIndexKind.Events },
-  conditions: { type: 'string', default: Condition.Calm },
+  conditions: { type: 'string', default: Condition.NoFault },
   admission: { type: 'string', default: 'true' },
   returns: { type: 'string', default: '0' },
   virtual: { type: 'boolean', default: false },
   flood: { type: 'string', default: '0' },
 } as const
 
-/** Runs real boxes against engine stand-ins under load, strategy after strategy, on the same arrivals. */
+/** Runs boxes and engine stand-ins under load, once per combination of the options, each time with the same requests. */
 export async function bench (argv: readonly string[]): Promise<void> {
   const { values } = parseArgs({ args: [...argv], options: OPTIONS })
   const shape = readShape(values.shape)
   const seconds = Number(values.seconds)
-  console.log(`shape ${values.shape}, seed ${values.seed}, ${seconds} s measured after ${WARM_UP_MS / 1000} s, load 1 is ${shape.baseRequestsPerSecond} requests a second`)
-  const results: CellResult[] = []
-  for (const cell of cellsOf(values)) {
-    const run = values.virtual ? runVirtualCell : runCell
-    const result = await run(cell, shape, { seed: Number(values.seed), seconds, maxReturns: Number(values.returns), floodShare: Number(values.flood) })
+  console.log(`shape ${values.shape}, seed ${values.seed}, ${seconds} s measured after ${WARM_UP_MS / 1000} s of warm-up, load 1 is ${shape.baseRequestsPerSecond} requests per second`)
+  const results: BenchResult[] = []
+  for (const benchCase of listCases(values)) {
+    const run = values.virtual ? runOnVirtualClock : runOnProcesses
+    const result = await run(benchCase, shape, { seed: Number(values.seed), seconds, maxRetries: Number(values.returns), floodShare: Number(values.flood) })
     results.push(result)
-    printTable(results.length === 1, rowOf(result))
+    printTable(results.length === 1, toRow(result))
   }
 }
 
-function cellsOf (values: { loads: string, strategies: string, indexes: string, conditions: string, admission: string }): Cell[] {
-  const list = (text: string) => text.split(',')
-  return list(values.conditions).flatMap((condition) =>
-    list(values.loads).flatMap((load) =>
-      list(values.admission).flatMap((admission) =>
-        list(values.indexes).flatMap((index) =>
-          list(values.strategies).map((strategy) => ({
+function listCases (values: { loads: string, strategies: string, indexes: string, conditions: string, admission: string }): BenchCase[] {
+  const splitList = (text: string) => text.split(',')
+  return splitList(values.conditions).flatMap((condition) =>
+    splitList(values.loads).flatMap((load) =>
+      splitList(values.admission).flatMap((admission) =>
+        splitList(values.indexes).flatMap((index) =>
+          splitList(values.strategies).map((strategy) => ({
             strategy,
             index: index as PrefixIndexKind,
             admission: admission === 'true',
@@ -98,27 +100,27 @@
           }))))))
 }
 
-async function runCell (cell: Cell, shape: LoadShape, { seed, seconds, maxReturns }: RunOptions): Promise<CellResult> {
-  const { strategy, index, admission, load, condition } = cell
+async function runOnProcesses (benchCase: BenchCase, shape: LoadShape, { seed, seconds, maxRetries }: RunOptions): Promise<BenchResult> {
+  const { strategy, index, admission, load, condition } = benchCase
   const fleet = await ProcessFleet.start({
-    settings: { scheduling: { ...strategy !== 'scheduler' && BASELINE_REPORTS, strategy, prefixIndex: index, admission, countOwn: admission }, log: { level: 'warn' } },
+    settings: { scheduling: { ...strategy !== 'scheduler' && BASELINE_REPORT_SETTINGS, strategy, prefixIndex: index, admission, countOwn: admission }, log: { level: 'warn' } },
     routeTargets: shape,
   })
   try {
     const durationMs = WARM_UP_MS + seconds * 1000
-    const requests = drawLoad(new SeededRandom(seed), shape, { requestsPerSecond: shape.baseRequestsPerSecond * load, durationMs, name: 'r' })
+    const requests = generateLoad(new SeededRandom(seed), shape, { requestsPerSecond: shape.baseRequestsPerSecond * load, durationMs, name: 'r' })
     const addresses = fleet.boxes.map(({ callerAddress }) => callerAddress)
-    const measured = measure(fleet, seconds)
-    const faulted = impose(condition, fleet, WARM_UP_MS + FAULT_AFTER_MS)
-    const outcomes = await runLoad(requests, { addresses, model: shape.model, maxReturns })
-    await faulted
-    const counted = outcomes.filter((_, i) => requests[i].atMs >= WARM_UP_MS)
+    const measured = sampleFleet(fleet, seconds)
+    const faultInjected = injectFault(condition, fleet, WARM_UP_MS + FAULT_DELAY_MS)
+    const outcomes = await runLoad(requests, { addresses, model: shape.model, maxRetries })
+    await faultInjected
+    const countedOutcomes = outcomes.filter((_, i) => requests[i].atMs >= WARM_UP_MS)
     const countedRequests: LoadRequest[] = requests.filter(({ atMs }) => atMs >= WARM_UP_MS)
     return {
-      ...cell,
+      ...benchCase,
       ...await measured,
       seconds,
-      summary: summarize(counted, { ttftMs: shape.ttftTargetMs, tbtMs: shape.tbtTargetMs }),
+      summary: summarize(countedOutcomes, { ttftMs: shape.ttftTargetMs, tbtMs: shape.tbtTargetMs }),
       bound: upperBound(countedRequests, seconds * 1000, CAPACITY),
     }
   } finally {
@@ -126,20 +128,20 @@
   }
 }
 
-async function runVirtualCell (cell: Cell, shape: LoadShape, { seed, seconds, maxReturns, floodShare }: RunOptions): Promise<CellResult> {
+async function runOnVirtualClock (benchCase: BenchCase, shape: LoadShape, { seed, seconds, maxRetries, floodShare }: RunOptions): Promise<BenchResult> {
   const { requests, outcomes, engines, kvShare } = await runVirtualLoad({
-    ...cell,
+    ...benchCase,
     shape,
     seed,
-    maxReturns,
-    requestsPerSecond: shape.baseRequestsPerSecond * cell.load,
+    maxRetries,
+    requestsPerSecond: shape.baseRequestsPerSecond * benchCase.load,
     durationMs: WARM_UP_MS + seconds * 1000,
     warmUpMs: WARM_UP_MS,
-    faultAfterMs: FAULT_AFTER_MS,
+    faultDelayMs: FAULT_DELAY_MS,
     floodShare,
   })
   return {
-    ...cell,
+    ...benchCase,
     engines,
     kvShare,
     seconds,
@@ -149,8 +151,8 @@
   }
 }
 
-/** Reads counters over the measured part of a run. */
-async function measure (fleet: ProcessFleet, seconds: number): Promise<Pick<CellResult, 'engines' | 'kvShare' | 'usage'>> {
+/** Reads the fleet's counters and KV memory use during the measured part of a run. */
+async function sampleFleet (fleet: ProcessFleet, seconds: number): Promise<Pick<BenchResult, 'engines' | 'kvShare' | 'usage'>> {
   await sleep(WARM_UP_MS)
   const enginesBefore = await readEngineStats(fleet)
   const usageBefore = await readUsage(fleet)
@@ -159,7 +161,7 @@
   while (performance.now() < endMs) {
     const { kvBytesUsed, kvBytesTotal } = await readEngineStats(fleet)
     kvShares.push(kvBytesUsed / kvBytesTotal)
-    await sleep(SAMPLE_MS)
+    await sleep(SAMPLE_PERIOD_MS)
   }
   const engines = await readEngineStats(fleet)
   return {
@@ -169,7 +171,7 @@
   }
 }
 
-function rowOf ({ strategy, index, admission, load, condition, summary, bound, seconds, engines, kvShare, usage }: CellResult): Record<string, string> {
+function toRow ({ strategy, index, admission, load, condition, summary, bound, seconds, engines, kvShare, usage }: BenchResult): Record<string, string> {
   const wastedShare = engines.prefilledTokens > 0 ? engines.expiredPrefillTokens / engines.prefilledTokens : 0
   return {
     strategy,
@@ -178,7 +180,7 @@
     load: String(load),
     condition,
     'good/s': (summary.good / seconds).toFixed(1),
-    'first try/s': (summary.goodAtFirst / seconds).toFixed(1),
+    'first try/s': (summary.goodOnFirstTry / seconds).toFixed(1),
     'of bound': (summary.good / bound).toFixed(2),
     sent: String(summary.sent),
     finished: String(summary.finished),
@@ -189,7 +191,7 @@
     'ttft p50/p95': `${summary.ttftP50Ms.toFixed(0)}/${summary.ttftP95Ms.toFixed(0)}`,
     'tbt p50/p95': `${summary.tbtP50Ms.toFixed(0)}/${summary.tbtP95Ms.toFixed(0)}`,
     'refusal p95': summary.refusalP95Ms.toFixed(0),
-    'returns ok': summary.returned > 0 ? `${summary.returnedWell}/${summary.returned}` : '-',
+    'returns ok': summary.retried > 0 ? `${summary.finishedOnFirstRetry}/${summary.retried}` : '-',
     kv: `${(100 * kvShare).toFixed(0)}%`,
     'box cpu mean/max': `${usage.cpuPercentMean.toFixed(1)}/${usage.cpuPercentMax.toFixed(1)}%`,
     'peer KB/s': (usage.peerBytesPerSecondMean / 1000).toFixed(1),
--- a/__utils__/bench/src/condition.ts
+++ b/__utils__/bench/src/condition.ts
@@ -1,23 +1,23 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { type ProcessFleet } from './processFleet.js'
 
-/** What goes wrong while load runs. */
+/** Fault that is injected while load runs. */
 export enum Condition {
-  Calm = 'calm',
+  NoFault = 'calm',
   EngineLost = 'engineLost',
   SchedulerKilled = 'schedulerKilled',
   ZoneFrozen = 'zoneFrozen',
   CacheEventsLost = 'cacheEventsLost',
-  PlatformGone = 'platformGone',
+  PlatformOutage = 'platformGone',
 }
 
 const FROZEN_ZONE = 'hall-c'
 
-/** Makes it happen, after `atMs`. */
-export async function impose (condition: Condition, fleet: ProcessFleet, atMs: number): Promise<void> {
-  await sleep(atMs)
+/** Injects the fault after a delay. */
+export async function injectFault (condition: Condition, fleet: ProcessFleet, delayMs: number): Promise<void> {
+  await sleep(delayMs)
   switch (condition) {
-    case Condition.Calm:
+    case Condition.NoFault:
       return
     case Condition.EngineLost:
       await fleet.upstreams.get('decode-2')?.process.kill()
@@ -26,17 +26,17 @@
       await (await findScheduler(fleet))?.process.kill()
       return
     case Condition.ZoneFrozen:
-      fleet.inZone(FROZEN_ZONE).forEach((process) => process.signal('SIGSTOP'))
+      fleet.processesInZone(FROZEN_ZONE).forEach((process) => process.signal('SIGSTOP'))
       return
     case Condition.CacheEventsLost:
-      await Promise.all([...fleet.upstreams].filter(([name]) => name.startsWith('prefill')).map(([, { process }]) => process.tell({ type: 'engineFaults', faults: { loseCacheEvents: true } })))
+      await Promise.all([...fleet.upstreams].filter(([name]) => name.startsWith('prefill')).map(([, { process }]) => process.sendAndAwaitReply({ type: 'engineFaults', faults: { loseCacheEvents: true } })))
       return
-    case Condition.PlatformGone:
-      await fleet.tellPlatform({ type: 'platformFaults', faults: { outage: true } })
+    case Condition.PlatformOutage:
+      await fleet.sendToPlatform({ type: 'platformFaults', faults: { outage: true } })
   }
 }
 
-/** The box that accounts for the shard. */
+/** Finds the box that schedules the shard. */
 async function findScheduler (fleet: ProcessFleet) {
   const states = await Promise.all(fleet.boxes.map(async (box) => ({ box, state: await fleet.readState(box) })))
   return states.find(({ state }) => state.shards.length > 0)?.box
--- a/__utils__/bench/src/demo.ts
+++ b/__utils__/bench/src/demo.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from '@reelspan/utils.fakes'
 import { request } from 'undici'
-import { drawLoad, readShape } from './loadShape.js'
+import { generateLoad, readShape } from './loadShape.js'
 import { ProcessFleet } from './processFleet.js'
 import { readEngineStats } from './readEngineStats.js'
 import { runLoad } from './runLoad.js'
@@ -12,13 +12,13 @@
 const DURATION_MS = 8000
 const BOOKINGS = 20
 
-/** Starts Tuul's deployment of today, sends requests through it, prints what happened, and stops it. */
+/** Starts the sample deployment "Tuul", sends requests through it, prints a summary and stops the deployment. */
 export async function demo (): Promise<void> {
   console.log('Starting platform, 3 prefill and 5 decode engines, 3 services and 8 boxes …')
   const fleet = await ProcessFleet.start()
   try {
     const addresses = fleet.boxes.map(({ callerAddress }) => callerAddress)
-    const requests = drawLoad(new SeededRandom(1), SHAPE, { requestsPerSecond: REQUESTS_PER_SECOND, durationMs: DURATION_MS, name: 'demo' })
+    const requests = generateLoad(new SeededRandom(1), SHAPE, { requestsPerSecond: REQUESTS_PER_SECOND, durationMs: DURATION_MS, name: 'demo' })
     console.log(`Sending ${requests.length} completions in ${DURATION_MS / 1000} s and ${BOOKINGS} bookings that may not be repeated …`)
     const [outcomes, bookings] = await Promise.all([
       runLoad(requests, { addresses, model: SHAPE.model }),
@@ -31,7 +31,7 @@
       ['finished', String(summary.finished)],
       ['refused (not run)', String(summary.refused)],
       ['may have run', String(summary.mayHaveRun)],
-      ['wrong or cut answers', String(summary.wrong)],
+      ['wrong or incomplete answers', String(summary.wrong)],
       [`within ${TARGETS.ttftMs} ms and ${TARGETS.tbtMs} ms`, String(summary.good)],
       ['time to first token, p50 / p95', `${summary.ttftP50Ms.toFixed(0)} / ${summary.ttftP95Ms.toFixed(0)} ms`],
       ['time between tokens, p50 / p95', `${summary.tbtP50Ms.toFixed(0)} / ${summary.tbtP95Ms.toFixed(0)} ms`],
@@ -39,21 +39,21 @@
       ['bookings done once, of', `${bookings.filter((done) => done).length}, ${BOOKINGS}`],
     ]
     rows.forEach(([name, value]) => console.log(`  ${name.padEnd(34)} ${value}`))
-    if (summary.wrong > 0 || summary.finished === 0) throw new Error('the demo did not go as it should')
+    if (summary.wrong > 0 || summary.finished === 0) throw new Error('the demo received wrong answers or finished no request')
   } finally {
     await fleet.stop()
   }
 }
 
-/** Books through one box and retries with the same key through another. Both must get the same answer. */
+/** Sends a booking through two boxes with the same key. Returns whether both received the same successful answer. */
 async function book (addresses: readonly string[], i: number): Promise<boolean> {
-  const at = (k: number) => addresses[k % addresses.length]
-  const lookup = await request(`http://${at(i)}/v1/lookup`)
+  const addressAt = (k: number) => addresses[k % addresses.length]
+  const lookup = await request(`http://${addressAt(i)}/v1/lookup`)
   const { keyPrefix } = await lookup.body.json() as { keyPrefix: string }
   const send = async (address: string) => {
     const response = await request(`http://${address}/desk/bookings`, { method: 'POST', headers: { 'idempotency-key': `${keyPrefix}.b${i}` }, body: 'a crew' })
     return response.statusCode + await response.body.text()
   }
-  const [first, second] = await Promise.all([send(at(i + 1)), send(at(i + 2))])
+  const [first, second] = await Promise.all([send(addressAt(i + 1)), send(addressAt(i + 2))])
   return first === second && first.startsWith('200')
 }
--- a/__utils__/bench/src/fleetProcess.ts
+++ b/__utils__/bench/src/fleetProcess.ts
@@ -1,7 +1,7 @@
 import { type ChildProcess, spawn } from 'node:child_process'
 import { once } from 'node:events'
 
-/** A process of a test fleet. */
+/** A Node.js process of a test fleet. */
 export class FleetProcess {
   readonly name: string
   readonly #child: ChildProcess
@@ -23,29 +23,29 @@
     return this.#child.exitCode === null && this.#child.signalCode === null
   }
 
-  /** What the process wrote so far. */
+  /** Standard output and standard error so far. */
   get output (): string {
     return this.#output.join('')
   }
 
-  /** Resolves with the next message of the process. Fails when it exits first. */
+  /** Resolves with the next IPC message of the process. Rejects if the process exits first. */
   async nextMessage<T> (): Promise<T> {
     const exited = once(this.#child, 'exit').then(() => { throw new Error(`${this.name} exited:\n${this.output}`) })
     const [message] = await Promise.race([once(this.#child, 'message'), exited])
     return message
   }
 
-  async tell (message: object): Promise<void> {
-    const done = this.nextMessage()
+  async sendAndAwaitReply (message: object): Promise<void> {
+    const reply = this.nextMessage()
     this.send(message)
-    await done
+    await reply
   }
 
   send (message: object): void {
     this.#child.send(message)
   }
 
-  /** Stopped by SIGSTOP and not continued yet. */
+  /** Whether the process was stopped by SIGSTOP and not continued since. */
   get frozen (): boolean {
     return this.#frozen
   }
@@ -56,7 +56,7 @@
     this.#child.kill(signal)
   }
 
-  /** Resolves with the exit code, or null after a signal. */
+  /** Resolves with the exit code, or null if a signal ended the process. */
   async waitExit (): Promise<number | null> {
     if (this.running) await once(this.#child, 'exit')
     return this.#child.exitCode
--- a/__utils__/bench/src/measureBox.ts
+++ b/__utils__/bench/src/measureBox.ts
@@ -5,43 +5,43 @@
 import { ProcessFleet } from './processFleet.js'
 import { readCpuMs } from './readUsage.js'
 
-/** Processor time of one box, real process, for one kind of work. */
+/** CPU time that the process of one box used for a workload. */
 export interface BoxCost {
-  what: string
+  workload: string
   count: number
-  /** For requests: tokens of each answer. */
+  /** Tokens of each answer. 0 for workloads other than completions. */
   tokens: number
-  milliseconds: number
+  cpuMs: number
 }
 
 const REQUESTS = 200
-const PARALLEL = 20
+const CONCURRENCY = 20
 const ANSWER_TOKENS = [1, 50, 100, 200]
 const LOOKUPS = 3000
 const CALLS = 1000
-const IDLE_MS = 8000
+const IDLE_MEASURE_MS = 8000
 const MODEL = 'draft'
 
-/** Measures what one box spends on lookups, calls to services, completions and their tokens. Engines are fast, so that the box is what is measured. */
+/** Measures the CPU time of one box for lookups, service calls, completions and their tokens. Engines are fast, so that they do not limit the load. */
 export async function measureBox (): Promise<BoxCost[]> {
   const fleet = await startSmallFleet(2)
-  const agent = new Agent({ connections: PARALLEL })
+  const agent = new Agent({ connections: CONCURRENCY })
   try {
     const costs: BoxCost[] = []
     const [{ callerAddress, process }] = fleet.boxes
-    const spend = async (what: string, count: number, tokens: number, work: (i: number) => Promise<void>) => {
-      const before = await readCpuMs(process.pid)
-      await inParallel(count, work)
-      costs.push({ what, count, tokens, milliseconds: await readCpuMs(process.pid) - before })
+    const measureCpuMs = async (workload: string, count: number, tokens: number, work: (i: number) => Promise<void>) => {
+      const cpuMsBefore = await readCpuMs(process.pid)
+      await runConcurrently(count, work)
+      costs.push({ workload, count, tokens, cpuMs: await readCpuMs(process.pid) - cpuMsBefore })
     }
     const send = (path: string, body?: string) => async () => {
       const response = await request(`http://${callerAddress}${path}`, { dispatcher: agent, method: body === undefined ? 'GET' : 'POST', body })
       await response.body.dump()
     }
-    await inParallel(REQUESTS, complete(callerAddress, agent, 50))
-    await spend('lookup', LOOKUPS, 0, send('/v1/lookup'))
-    await spend('call', CALLS, 0, send('/desk', 'x'))
-    for (const tokens of ANSWER_TOKENS) await spend('completion', REQUESTS, tokens, complete(callerAddress, agent, tokens))
+    await runConcurrently(REQUESTS, sendCompletion(callerAddress, agent, 50))
+    await measureCpuMs('lookup', LOOKUPS, 0, send('/v1/lookup'))
+    await measureCpuMs('call', CALLS, 0, send('/desk', 'x'))
+    for (const tokens of ANSWER_TOKENS) await measureCpuMs('completion', REQUESTS, tokens, sendCompletion(callerAddress, agent, tokens))
     return costs
   } finally {
     await agent.destroy()
@@ -49,15 +49,15 @@
   }
 }
 
-/** Processor time in percent, and peer bytes, of one idle box that looks after so many engines. */
+/** Measures the CPU usage of one idle box that schedules the given number of engines. */
 export async function measureIdleBox (engines: number): Promise<{ engines: number, cpuPercent: number }> {
   const fleet = await startSmallFleet(engines)
   try {
     const [{ process }] = fleet.boxes
     await sleep(3000)
-    const before = await readCpuMs(process.pid)
-    await sleep(IDLE_MS)
-    return { engines, cpuPercent: 100 * (await readCpuMs(process.pid) - before) / IDLE_MS }
+    const cpuMsBefore = await readCpuMs(process.pid)
+    await sleep(IDLE_MEASURE_MS)
+    return { engines, cpuPercent: 100 * (await readCpuMs(process.pid) - cpuMsBefore) / IDLE_MEASURE_MS }
   } finally {
     await fleet.stop()
   }
@@ -65,7 +65,7 @@
 
 function startSmallFleet (engines: number): Promise<ProcessFleet> {
   const upstream = (name: string, kind: UpstreamKind, pool: string) => ({ name, kind, pool, availabilityZone: 'hall-a' })
-  const half = Array.from({ length: engines / 2 }, (_, i) => i + 1)
+  const engineNumbers = Array.from({ length: engines / 2 }, (_, i) => i + 1)
   return ProcessFleet.start({
     serviceWorkMs: 1,
     settings: { log: { level: 'warn' }, requests: { recordBytes: 500_000_000 } },
@@ -74,15 +74,15 @@
     deployment: {
       boxes: [{ name: 'box-1', availabilityZone: 'hall-a' }],
       upstreams: [
-        ...half.map((i) => upstream(`prefill-${i}`, UpstreamKind.Engine, 'draft-prefill')),
-        ...half.map((i) => upstream(`decode-${i}`, UpstreamKind.Engine, 'draft-decode')),
+        ...engineNumbers.map((i) => upstream(`prefill-${i}`, UpstreamKind.Engine, 'draft-prefill')),
+        ...engineNumbers.map((i) => upstream(`decode-${i}`, UpstreamKind.Engine, 'draft-decode')),
         upstream('desk-1', UpstreamKind.Service, 'script-desk'),
       ],
     },
   })
 }
 
-function complete (address: string, agent: Agent, answerTokens: number): (i: number) => Promise<void> {
+function sendCompletion (address: string, agent: Agent, answerTokens: number): (i: number) => Promise<void> {
   return async (i) => {
     const prompt = promptFor(`s${i}`, { shared: 'shared '.repeat(600), answerTokens })
     const response = await request(`http://${address}/v1/completions`, { dispatcher: agent, method: 'POST', body: JSON.stringify({ model: MODEL, prompt, max_tokens: answerTokens, stream: true }) })
@@ -90,9 +90,9 @@
   }
 }
 
-async function inParallel (count: number, work: (i: number) => Promise<void>): Promise<void> {
+async function runConcurrently (count: number, work: (i: number) => Promise<void>): Promise<void> {
   const indexes = Array.from({ length: count }, (_, i) => i)
-  await Promise.all(Array.from({ length: PARALLEL }, async () => {
+  await Promise.all(Array.from({ length: CONCURRENCY }, async () => {
     for (let i = indexes.pop(); i !== undefined; i = indexes.pop()) await work(i)
   }))
 }
--- a/__utils__/bench/src/measureMembership.ts
+++ b/__utils__/bench/src/measureMembership.ts
@@ -6,39 +6,39 @@
 import { type HostUsage } from './memberHost.js'
 import { type HostCommand } from './runMemberHost.js'
 
-/** What membership costs one node. */
+/** Cost of membership per node. */
 export interface MembershipCost {
   members: number
   cpuPercent: number
   bytesPerSecond: number
-  /** From one node's new revision to the last node that knows it. */
-  spreadMs: number
+  /** Time from the adoption of a new revision at one node until the last node has adopted it. */
+  propagationMs: number
   connections: number
-  /** Members that any node suspected in the end. 0 when the machine kept up. */
+  /** Suspicions at the end of the measurement, summed over all nodes. 0 unless the machine was overloaded. */
   suspected: number
 }
 
-const HOST = fileURLToPath(new URL('../bin/members.js', import.meta.url))
+const HOST_SCRIPT = fileURLToPath(new URL('../bin/members.js', import.meta.url))
 const MEMBERS_PER_PROCESS = 115
 const SETTLE_MS_PER_MEMBER = 120
-const LEAST_SETTLE_MS = 4000
+const MIN_SETTLE_MS = 4000
 const MEASURE_MS = 8000
-const SPREAD_LIMIT_MS = 16_000
+const PROPAGATION_TIMEOUT_MS = 16_000
 
-/** Runs members over the real link in a few processes and measures what they use at rest, and how fast a change spreads. */
+/** Runs members in a few processes, connected by WebSocket peer links. Measures their usage at idle and how fast a change propagates. */
 export async function measureMembership (members: number): Promise<MembershipCost> {
   const ports = await freePorts(members)
-  const hosts = Array.from({ length: Math.ceil(members / MEMBERS_PER_PROCESS) }, (_, i) => new FleetProcess(`members-${i}`, HOST, []))
+  const hosts = Array.from({ length: Math.ceil(members / MEMBERS_PER_PROCESS) }, (_, i) => new FleetProcess(`members-${i}`, HOST_SCRIPT, []))
   try {
-    const share = Math.ceil(members / hosts.length)
-    const known = await Promise.all(hosts.map((host, i) => ask<Member[]>(host, { type: 'start', ports, ownFrom: i * share, ownCount: share })))
-    await Promise.all(hosts.map((host) => ask(host, { type: 'begin', members: known.flat() })))
-    // What each was told at the start is passed on once as news, which is no part of rest.
-    await sleep(Math.max(LEAST_SETTLE_MS, members * SETTLE_MS_PER_MEMBER))
-    const before = await usageOf(hosts)
+    const membersPerHost = Math.ceil(members / hosts.length)
+    const startedMembers = await Promise.all(hosts.map((host, i) => sendCommand<Member[]>(host, { type: 'start', ports, ownFrom: i * membersPerHost, ownCount: membersPerHost })))
+    await Promise.all(hosts.map((host) => sendCommand(host, { type: 'begin', members: startedMembers.flat() })))
+    // Each node forwards its initial membership updates once. Waits until this traffic is over, since only idle usage is measured.
+    await sleep(Math.max(MIN_SETTLE_MS, members * SETTLE_MS_PER_MEMBER))
+    const before = await sumUsage(hosts)
     const startedAtMs = performance.now()
     await sleep(MEASURE_MS)
-    const after = await usageOf(hosts)
+    const after = await sumUsage(hosts)
     const elapsedMs = performance.now() - startedAtMs
     return {
       members,
@@ -46,27 +46,27 @@
       bytesPerSecond: 1000 * (after.bytes - before.bytes) / elapsedMs / members,
       connections: after.connections / members,
       suspected: after.suspected,
-      spreadMs: await measureSpread(hosts),
+      propagationMs: await measurePropagation(hosts),
     }
   } finally {
     await Promise.all(hosts.map((host) => host.kill()))
   }
 }
 
-async function measureSpread (hosts: readonly FleetProcess[]): Promise<number> {
-  const changedAtMs = await ask<number>(hosts[0], { type: 'change' })
-  const giveUpAtMs = performance.now() + SPREAD_LIMIT_MS
-  while (performance.now() < giveUpAtMs) {
-    const heard = await Promise.all(hosts.map((host) => ask<number | undefined>(host, { type: 'lastHeard' })))
-    if (heard.every((atMs) => atMs !== undefined)) return Math.max(...heard) - changedAtMs
+async function measurePropagation (hosts: readonly FleetProcess[]): Promise<number> {
+  const changedAtMs = await sendCommand<number>(hosts[0], { type: 'change' })
+  const timeoutAtMs = performance.now() + PROPAGATION_TIMEOUT_MS
+  while (performance.now() < timeoutAtMs) {
+    const adoptedAtMs = await Promise.all(hosts.map((host) => sendCommand<number | undefined>(host, { type: 'lastHeard' })))
+    if (adoptedAtMs.every((atMs) => atMs !== undefined)) return Math.max(...adoptedAtMs) - changedAtMs
     await sleep(50)
   }
   return Number.POSITIVE_INFINITY
 }
 
-async function usageOf (hosts: readonly FleetProcess[]): Promise<HostUsage> {
-  const usages = await Promise.all(hosts.map((host) => ask<HostUsage>(host, { type: 'usage' })))
-  const sum = (pick: (usage: HostUsage) => number) => usages.reduce((total, usage) => total + pick(usage), 0)
+async function sumUsage (hosts: readonly FleetProcess[]): Promise<HostUsage> {
+  const usages = await Promise.all(hosts.map((host) => sendCommand<HostUsage>(host, { type: 'usage' })))
+  const sum = (select: (usage: HostUsage) => number) => usages.reduce((total, usage) => total + select(usage), 0)
   return {
     cpuMs: sum(({ cpuMs }) => cpuMs),
     bytes: sum(({ bytes }) => bytes),
@@ -75,7 +75,7 @@
   }
 }
 
-async function ask<T> (host: FleetProcess, command: HostCommand): Promise<T> {
+async function sendCommand<T> (host: FleetProcess, command: HostCommand): Promise<T> {
   const answer = host.nextMessage<{ result: T }>()
   host.send(command)
   return (await answer).result
--- a/__utils__/bench/src/measureRecords.ts
+++ b/__utils__/bench/src/measureRecords.ts
@@ -3,18 +3,18 @@
 import { SystemClock } from '@reelspan/net.system-env'
 import { RecordStore } from '@reelspan/request.records'
 
-/** What records cost a box. */
+/** Cost of a request record at a box. */
 export interface RecordCost {
   tokens: number
   heapBytesPerRecord: number
-  /** What the store itself counts against its bound. */
+  /** Size that the store counts against its limit. */
   countedBytesPerRecord: number
   microsecondsPerRecord: number
 }
 
 const RECORDS = 20_000
 
-/** Fills a store with finished answers. Wants `--expose-gc`. */
+/** Measures a record store filled with finished answers of the given length. Requires `--expose-gc`. */
 export function measureRecords (tokens: number): RecordCost {
   const store = new RecordStore({ clock: new SystemClock(), maxBytes: Number.MAX_SAFE_INTEGER, recordLifeMs: 600_000 })
   globalThis.gc?.()
--- a/__utils__/bench/src/measureRuns.ts
+++ b/__utils__/bench/src/measureRuns.ts
@@ -2,44 +2,44 @@
 import { SystemClock } from '@reelspan/net.system-env'
 import { judgeRequest, RunHistory } from '@reelspan/request.quarantine'
 
-/** What remembering the ends of upstreams costs a box. */
+/** Cost at a box of the history of runs whose upstreams exited. */
 export interface RunCost {
   runs: number
   heapBytesPerRun: number
   microsecondsPerRun: number
-  /** Deciding whether one request may be sent. */
-  microsecondsPerJudgement: number
+  /** CPU time to decide whether a request is quarantined. */
+  microsecondsPerDecision: number
 }
 
-/** Requests that ran on each upstream that ended: a full engine of the users' largest deployment. */
-const RUNS_PER_END = 12
-const JUDGEMENTS = 20_000
+/** Requests that ran on each upstream that exited. Corresponds to a fully loaded engine of the users' largest deployment. */
+const RUNS_PER_EXIT = 12
+const DECISIONS = 20_000
 
-/** Fills a history with ends of full upstreams, and judges requests that were there. Wants `--expose-gc`. */
+/** Fills a history with the runs of fully loaded upstreams that exited, and judges requests among them. Requires `--expose-gc`. */
 export function measureRuns (runs: number): RunCost {
   const history = new RunHistory({ clock: new SystemClock() })
   globalThis.gc?.()
   const heapBefore = process.memoryUsage().heapUsed
-  const fill = microseconds(() => {
+  const fillMicroseconds = measureCpuMicroseconds(() => {
     for (let i = 0; i < runs; i++) {
-      const end = Math.floor(i / RUNS_PER_END)
-      history.add({ id: `0123456789abcdef.${i}`, end: RunEnd.UpstreamEnded, content: contentOf(i), caller: 'w'.repeat(16), upstream: `i-${end}`, ageMs: 500 * (1 + runs / RUNS_PER_END - end), ranMs: 100 })
+      const exitNumber = Math.floor(i / RUNS_PER_EXIT)
+      history.add({ id: `0123456789abcdef.${i}`, end: RunEnd.UpstreamEnded, content: contentDigestOf(i), caller: 'w'.repeat(16), upstream: `i-${exitNumber}`, ageMs: 500 * (1 + runs / RUNS_PER_EXIT - exitNumber), ranMs: 100 })
     }
   })
   globalThis.gc?.()
   const heapBytes = process.memoryUsage().heapUsed - heapBefore
-  const judge = microseconds(() => {
-    for (let i = 0; i < JUDGEMENTS; i++) judgeRequest(history, { content: contentOf(i % runs), caller: 'w'.repeat(16) })
+  const decisionMicroseconds = measureCpuMicroseconds(() => {
+    for (let i = 0; i < DECISIONS; i++) judgeRequest(history, { content: contentDigestOf(i % runs), caller: 'w'.repeat(16) })
   })
-  return { runs, heapBytesPerRun: heapBytes / runs, microsecondsPerRun: fill / runs, microsecondsPerJudgement: judge / JUDGEMENTS }
+  return { runs, heapBytesPerRun: heapBytes / runs, microsecondsPerRun: fillMicroseconds / runs, microsecondsPerDecision: decisionMicroseconds / DECISIONS }
 }
 
-/** One request of each upstream is the one that ends them, up to as many as are kept of it. */
-function contentOf (i: number): string {
-  return i % RUNS_PER_END === 0 ? 'ends'.padEnd(16, '.') : `c${i}`.padEnd(16, '.')
+/** The first run at each upstream is of the same request, which makes the upstreams exit. The history keeps a limited number of runs of it. */
+function contentDigestOf (i: number): string {
+  return i % RUNS_PER_EXIT === 0 ? 'ends'.padEnd(16, '.') : `c${i}`.padEnd(16, '.')
 }
 
-function microseconds (work: () => void): number {
+function measureCpuMicroseconds (work: () => void): number {
   const before = process.cpuUsage()
   work()
   const { user, system } = process.cpuUsage(before)
--- a/__utils__/bench/src/measureScheduler.ts
+++ b/__utils__/bench/src/measureScheduler.ts
@@ -8,7 +8,7 @@
 import { SeededRandom, tuulDeclarations, VirtualClock } from '@reelspan/utils.fakes'
 import { type EngineReport, EngineRole } from '@reelspan/upstream.client'
 
-/** What one reservation costs a scheduler. */
+/** Cost of a reservation at a scheduler. */
 export interface SchedulerCost {
   enginesPerPool: number
   microsecondsPerReservation: number
@@ -17,24 +17,24 @@
 
 const RESERVATIONS = 3000
 const PROMPT_TOKENS = 1200
-/** Requests a second and prefill engine: near what it can do. */
-const RATE_PER_ENGINE = 12
+/** Requests per second for each prefill engine, close to its capacity. */
+const REQUESTS_PER_SECOND_PER_ENGINE = 12
 const PREFIXES = 200
 const DECODE_MS = 2000
 
-/** Drives one scheduler on a virtual clock, near full load, and measures its processor time. */
+/** Measures the CPU time of one scheduler close to full load, driven by a virtual clock. */
 export async function measureScheduler (enginesPerPool: number): Promise<SchedulerCost> {
   const clock = new VirtualClock()
   const random = new SeededRandom(1)
-  const scheduler = new ShardScheduler({ clock, shard: shardOf(enginesPerPool), route: () => undefined, index: createPrefixIndex(PrefixIndexKind.Events), reportLifeMs: Number.POSITIVE_INFINITY })
+  const scheduler = new ShardScheduler({ clock, shard: createShard(enginesPerPool), route: () => undefined, index: createPrefixIndex(PrefixIndexKind.Events), reportLifeMs: Number.POSITIVE_INFINITY })
   const { prefillEngines, decodeEngines } = scheduler.ledger.shard
-  prefillEngines.forEach(({ name }) => scheduler.noteReport(name, idleReport(EngineRole.Prefill)))
-  decodeEngines.forEach(({ name }) => scheduler.noteReport(name, idleReport(EngineRole.Decode)))
+  prefillEngines.forEach(({ name }) => scheduler.noteReport(name, createIdleReport(EngineRole.Prefill)))
+  decodeEngines.forEach(({ name }) => scheduler.noteReport(name, createIdleReport(EngineRole.Decode)))
   const prompts = Array.from({ length: PREFIXES }, (_, i) => prefixDigests(`${i} `.repeat(PROMPT_TOKENS * 2).slice(0, PROMPT_TOKENS * 4)))
   let placed = 0
   const cpuBefore = process.cpuUsage()
   for (let i = 0; i < RESERVATIONS; i++) {
-    const request = requestOf(i, prompts[random.nextInt(PREFIXES)])
+    const request = createRequest(i, prompts[random.nextInt(PREFIXES)])
     void scheduler.reserve(request).then(async (answer) => {
       if (answer.outcome === PlacementOutcome.Refused) return
       placed++
@@ -43,7 +43,7 @@
       await clock.sleep(DECODE_MS)
       scheduler.release(request.label, { completionTokens: 40, ttftErrorMs: 5, tbtP50Ms: 50 })
     })
-    await clock.advance(1000 / (RATE_PER_ENGINE * enginesPerPool))
+    await clock.advance(1000 / (REQUESTS_PER_SECOND_PER_ENGINE * enginesPerPool))
   }
   const { user, system } = process.cpuUsage(cpuBefore)
   await clock.advance(2 * DECODE_MS)
@@ -51,21 +51,21 @@
   return { enginesPerPool, microsecondsPerReservation: (user + system) / RESERVATIONS, placedShare: placed / RESERVATIONS }
 }
 
-function shardOf (enginesPerPool: number): Shard {
+function createShard (enginesPerPool: number): Shard {
   const { configuration } = checkResources(tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
   const engines = (pool: string) => Array.from({ length: enginesPerPool }, (_, i) => ({ name: `${pool}-${i}`, kind: UpstreamKind.Engine, address: `10.0.0.1:${i}`, availabilityZone: 'z', pool, leaving: false }))
   const spec = configuration.model('draft')
   const prefillPool = configuration.pool('draft-prefill')
   const decodePool = configuration.pool('draft-decode')
-  if (!spec || !prefillPool || !decodePool) throw new Error('the declarations have no model draft')
+  if (!spec || !prefillPool || !decodePool) throw new Error('the declarations lack the model "draft" or one of its pools')
   return { id: 'draft', model: 'draft', spec, prefillPool, decodePool, prefillEngines: engines('p'), decodeEngines: engines('d') }
 }
 
-function idleReport (role: EngineRole): EngineReport {
+function createIdleReport (role: EngineRole): EngineReport {
   return { role, loaded: [{ model: 'draft', version: '1' }], changing: false, placesUsed: 0, placesTotal: 20, kvBytesUsed: 0, kvBytesTotal: 4e9, prefillQueueMs: 0, fence: 0, holds: [] }
 }
 
-function requestOf (i: number, prefixes: ReserveRequest['prefixes']): ReserveRequest {
+function createRequest (i: number, prefixes: ReserveRequest['prefixes']): ReserveRequest {
   return {
     shardId: 'draft',
     label: { ownerAddress: '10.0.0.1:1', ownerIncarnation: 'i', requestId: String(i), maxHoldMs: 30_000 },
--- a/__utils__/bench/src/memberHost.ts
+++ b/__utils__/bench/src/memberHost.ts
@@ -4,7 +4,7 @@
 import { WsPeerLink } from '@reelspan/net.peer-link'
 import { SystemClock, SystemRandom } from '@reelspan/net.system-env'
 
-/** What a process of members has used so far. */
+/** Usage of a member host so far, and its current suspicions and connections. */
 export interface HostUsage {
   cpuMs: number
   bytes: number
@@ -12,13 +12,14 @@
   connections: number
 }
 
-interface Node {
+interface MemberNode {
   link: WsPeerLink
   view: MembershipView
   prober: Prober
-  /** Highest revision heard of. */
+  /** Highest revision received. */
   revision: number
-  heardAtMs: number
+  /** Unix time at which the revision was adopted. */
+  adoptedAtMs: number
 }
 
 const CHANGED_REVISION = 2
@@ -26,15 +27,15 @@
 const PROBE_TIMEOUT_MS = 900
 const WATCH_COUNT = 4
 
-/** The members of one process, told what to do by the process that measures. */
+/** Runs the members of one process, controlled by the measuring process. */
 export class MemberHost {
-  readonly #nodes: Node[]
+  readonly #nodes: MemberNode[]
 
-  private constructor (nodes: Node[]) {
+  private constructor (nodes: MemberNode[]) {
     this.#nodes = nodes
   }
 
-  /** Starts members at some of the ports. All of `ports` know each other in the end. */
+  /** Starts members at `ownCount` of the ports, beginning at index `ownFrom`. `ports` lists the ports of all members of the measurement. */
   static async start (ports: readonly number[], ownFrom: number, ownCount: number): Promise<MemberHost> {
     const nodes = await Promise.all(ports.slice(ownFrom, ownFrom + ownCount).map((port, i) => startNode(ownFrom + i, port, ports)))
     return new MemberHost(nodes)
@@ -44,8 +45,8 @@
     return this.#nodes.map(({ view }) => view.self)
   }
 
-  /** All know each other from the start: joining is not what is measured. */
-  begin (members: readonly Member[]): void {
+  /** Starts probing with all members known from the start, since joining is not measured. */
+  startProbers (members: readonly Member[]): void {
     this.#nodes.forEach(({ view }) => members.forEach((member) => view.merge(member, performance.now())))
     this.#nodes.forEach(({ prober }) => prober.start())
   }
@@ -60,25 +61,25 @@
     }
   }
 
-  /** One member adopts a new revision. Answers when, on the machine's clock. */
+  /** Makes one member adopt a new revision. Returns the Unix time of the adoption. */
   change (): number {
-    hear(this.#nodes[0], CHANGED_REVISION)
-    return this.#nodes[0].heardAtMs
+    adoptRevision(this.#nodes[0], CHANGED_REVISION)
+    return this.#nodes[0].adoptedAtMs
   }
 
-  /** When the last member heard of the new revision, or nothing while one has not. */
-  lastHeardAtMs (): number | undefined {
-    return this.#nodes.some(({ revision }) => revision < CHANGED_REVISION) ? undefined : Math.max(...this.#nodes.map(({ heardAtMs }) => heardAtMs))
+  /** Unix time at which the last member adopted the new revision, or undefined while one has not. */
+  lastAdoptedAtMs (): number | undefined {
+    return this.#nodes.some(({ revision }) => revision < CHANGED_REVISION) ? undefined : Math.max(...this.#nodes.map(({ adoptedAtMs }) => adoptedAtMs))
   }
 }
 
-async function startNode (i: number, port: number, ports: readonly number[]): Promise<Node> {
+async function startNode (i: number, port: number, ports: readonly number[]): Promise<MemberNode> {
   const clock = new SystemClock()
   const random = new SystemRandom()
   const peerAddress = `127.0.0.1:${port}`
   const link = new WsPeerLink({ clock, listenAddress: peerAddress, maxMessageBytes: 1_000_000, idleCloseMs: 30_000 })
-  const view = new MembershipView({ self: memberAt(i, port, random.hex(16)), goneMemoryMs: 600_000 })
-  const node: Partial<Node> & { revision: number } = { link, view, revision: 1, heardAtMs: 0 }
+  const view = new MembershipView({ self: createMember(i, port, random.hex(16)), goneMemoryMs: 600_000 })
+  const node: Partial<MemberNode> & { revision: number } = { link, view, revision: 1, adoptedAtMs: 0 }
   node.prober = new Prober({
     platformAnswering: () => undefined,
     onPlatformAnswering: () => {},
@@ -89,7 +90,7 @@
     listedAddresses: () => ports.map((other) => `127.0.0.1:${other}`),
     revisions: () => ({ [Collection.Declarations]: node.revision, [Collection.Fleet]: 1 }),
     inFlight: () => 0,
-    onPeerRevisions: (_address, revisions) => hear(node as Node, revisions[Collection.Declarations]),
+    onPeerRevisions: (_address, revisions) => adoptRevision(node as MemberNode, revisions[Collection.Declarations]),
     probePeriodMs: PROBE_PERIOD_MS,
     probeTimeoutMs: PROBE_TIMEOUT_MS,
     watchCount: WATCH_COUNT,
@@ -101,10 +102,10 @@
     onStream: async function * () {},
   })
   await link.listen()
-  return node as Node
+  return node as MemberNode
 }
 
-function memberAt (i: number, port: number, incarnation: string): Member {
+function createMember (i: number, port: number, incarnation: string): Member {
   return {
     name: `box-${i}`,
     availabilityZone: `zone-${i % 8}`,
@@ -117,10 +118,10 @@
   }
 }
 
-/** A box that hears of a higher revision adopts it and tells on at once. */
-function hear (node: Node, revision: number): void {
+/** Adopts a higher revision and announces it to peers at once, as a box does. */
+function adoptRevision (node: MemberNode, revision: number): void {
   if (revision <= node.revision) return
   node.revision = revision
-  node.heardAtMs = performance.timeOrigin + performance.now()
+  node.adoptedAtMs = performance.timeOrigin + performance.now()
   void node.prober.tellNow()
 }
--- a/__utils__/bench/src/printTable.ts
+++ b/__utils__/bench/src/printTable.ts
@@ -1,6 +1,6 @@
-/** Prints a row of a Markdown table, with its head when asked to. */
-export function printTable (withHead: boolean, row: Readonly<Record<string, string>>): void {
-  if (withHead) {
+/** Prints a row of a Markdown table, optionally preceded by the header. */
+export function printTable (withHeader: boolean, row: Readonly<Record<string, string>>): void {
+  if (withHeader) {
     console.log(`| ${Object.keys(row).join(' | ')} |`)
     console.log(`|${' --- |'.repeat(Object.keys(row).length)}`)
   }
--- a/__utils__/bench/src/processFleet.ts
+++ b/__utils__/bench/src/processFleet.ts
@@ -13,20 +13,20 @@
 import { request } from 'undici'
 import { FleetProcess } from './fleetProcess.js'
 
-const REELSPAN = fileURLToPath(import.meta.resolve('reelspan').replace('lib/index.js', 'bin/reelspan.js'))
-const STAND_IN = fileURLToPath(import.meta.resolve('@reelspan/utils.stand-ins').replace('lib/index.js', 'bin/stand-in.js'))
+const REELSPAN_SCRIPT = fileURLToPath(import.meta.resolve('reelspan').replace('lib/index.js', 'bin/reelspan.js'))
+const STAND_IN_SCRIPT = fileURLToPath(import.meta.resolve('@reelspan/utils.stand-ins').replace('lib/index.js', 'bin/stand-in.js'))
 const READY_POLL_MS = 50
-const READY_LIMIT_MS = 20_000
+const READY_TIMEOUT_MS = 20_000
 
 export interface FleetOptions {
-  /** Settings of every box, section by section, over the defaults. */
+  /** Settings of every box by section, overriding the defaults. */
   settings?: Record<string, Record<string, unknown>>
   engine?: Partial<EngineModelOptions>
-  /** How long a call to a plain service takes. */
+  /** Duration of a call to a service. */
   serviceWorkMs?: number
   declarations?: ReturnType<typeof tuulDeclarations>
   deployment?: ReturnType<typeof tuulFleet>
-  /** Latency targets of the completions' route. */
+  /** Latency targets of the completion route. */
   routeTargets?: { ttftTargetMs: number, tbtTargetMs: number }
 }
 
@@ -39,7 +39,7 @@
   settingsFile: string
 }
 
-/** A whole deployment on this machine, each part a process of its own. */
+/** Runs a deployment on this machine, with a process for each box, each upstream and the platform. */
 export class ProcessFleet {
   readonly boxes: FleetBox[] = []
   readonly upstreams = new Map<string, { process: FleetProcess, address: string }>()
@@ -52,7 +52,7 @@
     this.#folder = folder
   }
 
-  /** Starts platform, upstreams and boxes, and resolves when every box serves. */
+  /** Starts platform, upstreams and boxes. Resolves once every box is ready. */
   static async start (opts: FleetOptions = {}): Promise<ProcessFleet> {
     const fleet = new ProcessFleet(opts, await mkdtemp(join(tmpdir(), 'reelspan-')))
     try {
@@ -68,31 +68,31 @@
     return this.boxes.find((box) => box.name === name) as FleetBox
   }
 
-  /** The box's dump of its state. */
+  /** Reads the debug state of a box. */
   async readState ({ operatorAddress }: FleetBox): Promise<ReturnType<Box['describe']>> {
     const response = await request(`http://${operatorAddress}/debug/state`)
     return await response.body.json() as ReturnType<Box['describe']>
   }
 
-  /** Every process of an availability zone. */
-  inZone (availabilityZone: string): FleetProcess[] {
+  /** Returns the processes of the boxes and upstreams of an availability zone. */
+  processesInZone (availabilityZone: string): FleetProcess[] {
     const { boxes, upstreams } = this.#opts.deployment ?? tuulFleet()
-    const isHere = (place: { availabilityZone: string }) => place.availabilityZone === availabilityZone
+    const isInZone = (entry: { availabilityZone: string }) => entry.availabilityZone === availabilityZone
     return [
-      ...boxes.filter(isHere).map(({ name }) => this.box(name).process),
-      ...upstreams.filter(isHere).flatMap(({ name }) => this.upstreams.get(name)?.process ?? []),
+      ...boxes.filter(isInZone).map(({ name }) => this.box(name).process),
+      ...upstreams.filter(isInZone).flatMap(({ name }) => this.upstreams.get(name)?.process ?? []),
     ]
   }
 
-  async tellPlatform (message: StandInMessage): Promise<void> {
-    await this.#platform.process.tell(message)
+  async sendToPlatform (message: StandInMessage): Promise<void> {
+    await this.#platform.process.sendAndAwaitReply(message)
   }
 
-  /** Starts a box again after its process ended, at the same addresses. */
+  /** Restarts a box at the same addresses after its process has exited. */
   async restartBox (name: string): Promise<void> {
     const box = this.box(name)
-    box.process = new FleetProcess(name, REELSPAN, ['serve', '--config', box.settingsFile])
-    await waitReady(box)
+    box.process = new FleetProcess(name, REELSPAN_SCRIPT, ['serve', '--config', box.settingsFile])
+    await waitUntilReady(box)
   }
 
   async stop (): Promise<void> {
@@ -108,17 +108,17 @@
       this.upstreams.set(name, await this.#startUpstream(name, kind, pool))
     }))
     const ports = await freePorts(3 * boxes.length)
-    const placed = boxes.map((box, i) => ({ ...box, addresses: ports.slice(3 * i, 3 * i + 3).map((port) => `127.0.0.1:${port}`) }))
-    await this.tellPlatform({ type: 'publish', collection: Collection.Declarations, entries: this.#declarations() })
-    await this.tellPlatform({
+    const addressedBoxes = boxes.map((box, i) => ({ ...box, addresses: ports.slice(3 * i, 3 * i + 3).map((port) => `127.0.0.1:${port}`) }))
+    await this.sendToPlatform({ type: 'publish', collection: Collection.Declarations, entries: this.#declarations() })
+    await this.sendToPlatform({
       type: 'publish',
       collection: Collection.Fleet,
       entries: [
-        ...placed.map(({ name, availabilityZone, addresses }) => ({ kind: FleetEntryKind.Box, name, spec: { peerAddress: addresses[1], availabilityZone } })),
+        ...addressedBoxes.map(({ name, availabilityZone, addresses }) => ({ kind: FleetEntryKind.Box, name, spec: { peerAddress: addresses[1], availabilityZone } })),
         ...upstreams.map(({ name, ...spec }) => ({ kind: FleetEntryKind.Upstream, name, spec: { ...spec, address: this.upstreams.get(name)?.address } })),
       ],
     })
-    await Promise.all(placed.map((box) => this.#startBox(box)))
+    await Promise.all(addressedBoxes.map((box) => this.#startBox(box)))
   }
 
   #declarations (): PublishedEntry[] {
@@ -143,25 +143,25 @@
       listen: { callerAddress, peerAddress, operatorAddress },
       platform: { addresses: [this.#platform.address], ...this.#opts.settings?.platform },
     }))
-    const box = { name, callerAddress, peerAddress, operatorAddress, settingsFile, process: new FleetProcess(name, REELSPAN, ['serve', '--config', settingsFile]) }
+    const box = { name, callerAddress, peerAddress, operatorAddress, settingsFile, process: new FleetProcess(name, REELSPAN_SCRIPT, ['serve', '--config', settingsFile]) }
     this.boxes.push(box)
-    await waitReady(box)
+    await waitUntilReady(box)
   }
 }
 
 async function startStandIn (name: string, kind: string, settings: object): Promise<{ process: FleetProcess, address: string }> {
-  const process = new FleetProcess(name, STAND_IN, [kind, JSON.stringify(settings)])
+  const process = new FleetProcess(name, STAND_IN_SCRIPT, [kind, JSON.stringify(settings)])
   const { address } = await process.nextMessage<{ address: string }>()
   return { process, address }
 }
 
-async function waitReady ({ callerAddress, process, name }: FleetBox): Promise<void> {
+async function waitUntilReady ({ callerAddress, process, name }: FleetBox): Promise<void> {
   const startedAtMs = performance.now()
-  while (performance.now() - startedAtMs < READY_LIMIT_MS && process.running) {
+  while (performance.now() - startedAtMs < READY_TIMEOUT_MS && process.running) {
     const response = await request(`http://${callerAddress}/healthz`).catch(() => undefined)
     await response?.body.dump()
     if (response?.statusCode === 200) return
     await new Promise((resolve) => setTimeout(resolve, READY_POLL_MS))
   }
-  throw new Error(`${name} did not start:\n${process.output}`)
+  throw new Error(`${name} did not become ready:\n${process.output}`)
 }
--- a/__utils__/bench/src/readUsage.ts
+++ b/__utils__/bench/src/readUsage.ts
@@ -2,8 +2,8 @@
 import { request } from 'undici'
 import { type ProcessFleet } from './processFleet.js'
 
-/** What boxes used, a box. */
-export interface Usage {
+/** CPU usage and peer traffic per box. */
+export interface FleetUsage {
   cpuPercentMean: number
   cpuPercentMax: number
   peerBytesPerSecondMean: number
@@ -15,21 +15,21 @@
   peerBytes: number
 }
 
-/** Clock ticks a second of `/proc/<pid>/stat` on Linux. */
+/** Clock ticks per second in `/proc/<pid>/stat` on Linux. */
 const TICKS_PER_SECOND = 100
 
-/** Reads processor time and peer traffic of every box that runs. */
-export async function readUsage (fleet: ProcessFleet): Promise<UsageReading> {
+/** Reads the CPU time and peer traffic of every running box. */
+export async function readUsage (fleet: ProcessFleet): Promise<UsageSample> {
   const running = fleet.boxes.filter(({ process }) => process.running && !process.frozen)
   const boxes = await Promise.all(running.map(async ({ name, process, operatorAddress }) => ({
     name,
     cpuMs: await readCpuMs(process.pid),
     peerBytes: await readPeerBytes(operatorAddress),
   })))
-  return new UsageReading(performance.now(), boxes)
+  return new UsageSample(performance.now(), boxes)
 }
 
-class UsageReading {
+class UsageSample {
   readonly #atMs: number
   readonly #boxes: BoxUsage[]
 
@@ -38,23 +38,23 @@
     this.#boxes = boxes
   }
 
-  /** Usage between an earlier reading and this one, by boxes that are in both. */
-  since (before: UsageReading): Usage {
+  /** Usage between an earlier sample and this one, for the boxes that are in both. */
+  since (before: UsageSample): FleetUsage {
     const elapsedMs = this.#atMs - before.#atMs
-    const pairs = this.#boxes.flatMap((after) => {
+    const boxUsages = this.#boxes.flatMap((after) => {
       const earlier = before.#boxes.find(({ name }) => name === after.name)
       return earlier ? [{ cpuPercent: 100 * (after.cpuMs - earlier.cpuMs) / elapsedMs, bytesPerSecond: 1000 * (after.peerBytes - earlier.peerBytes) / elapsedMs }] : []
     })
     const mean = (values: number[]) => values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length)
     return {
-      cpuPercentMean: mean(pairs.map(({ cpuPercent }) => cpuPercent)),
-      cpuPercentMax: Math.max(0, ...pairs.map(({ cpuPercent }) => cpuPercent)),
-      peerBytesPerSecondMean: mean(pairs.map(({ bytesPerSecond }) => bytesPerSecond)),
+      cpuPercentMean: mean(boxUsages.map(({ cpuPercent }) => cpuPercent)),
+      cpuPercentMax: Math.max(0, ...boxUsages.map(({ cpuPercent }) => cpuPercent)),
+      peerBytesPerSecondMean: mean(boxUsages.map(({ bytesPerSecond }) => bytesPerSecond)),
     }
   }
 }
 
-/** Processor time of a process so far. */
+/** Reads the CPU time that a process has used so far. */
 export async function readCpuMs (pid: number): Promise<number> {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8')
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ')
@@ -64,6 +64,6 @@
 async function readPeerBytes (operatorAddress: string): Promise<number> {
   const response = await request(`http://${operatorAddress}/metrics`)
   const text = await response.body.text()
-  const value = (name: string) => Number(new RegExp(`^${name} (\\S+)$`, 'm').exec(text)?.[1] ?? 0)
-  return value('reelspan_peer_sent_bytes_total') + value('reelspan_peer_received_bytes_total')
+  const readCounter = (name: string) => Number(new RegExp(`^${name} (\\S+)$`, 'm').exec(text)?.[1] ?? 0)
+  return readCounter('reelspan_peer_sent_bytes_total') + readCounter('reelspan_peer_received_bytes_total')
 }
--- a/__utils__/bench/src/runLoad.ts
+++ b/__utils__/bench/src/runLoad.ts
@@ -4,7 +4,7 @@
 import { Agent, request } from 'undici'
 import { type LoadRequest } from './loadShape.js'
 
-/** What became of one request, as its caller saw it. */
+/** Outcome of a request as its caller observed it. Times are of the last attempt. */
 export interface LoadOutcome {
   id: string
   client: string
@@ -14,19 +14,20 @@
   retryAfterMs?: number
   ttftMs?: number
   tbtMs: number[]
+  /** Duration from sending the request to the end of the answer. */
   endMs: number
-  /** The whole answer to the caller's own request arrived. */
-  whole: boolean
-  /** Came back when told to, this many times. */
+  /** Whether the complete answer to this very request arrived. */
+  correct: boolean
+  /** Number of retries after refusals that carried a retry time. */
   returns: number
 }
 
 export interface RunLoadOptions {
-  /** `ip:port` of boxes for callers. */
+  /** Addresses (`ip:port`) at which the boxes accept requests. */
   addresses: readonly string[]
   model: string
-  /** Times that a refused request comes back when it is told to. */
-  maxReturns?: number
+  /** Maximum number of retries of a refused request that carries a retry time. Default: 0. */
+  maxRetries?: number
 }
 
 interface SsePart {
@@ -34,82 +35,82 @@
   reelspan?: { key?: string, verdict: Verdict, code?: string, retryAfterMs?: number }
 }
 
-/** Sends requests at their times, whatever becomes of earlier ones, and waits for all to end. */
+/** Sends each request at its time, without waiting for earlier ones, and resolves once all have ended. */
 export async function runLoad (requests: readonly LoadRequest[], opts: RunLoadOptions): Promise<LoadOutcome[]> {
   const agent = new Agent({ connections: 512, connect: { timeout: 2000 } })
   const startedAtMs = performance.now()
-  const outcomes = await Promise.all(requests.map(async (one, i) => {
-    await sleep(Math.max(0, one.atMs - (performance.now() - startedAtMs)))
-    return sendWithReturns(one, opts.addresses[i % opts.addresses.length], agent, opts, startedAtMs)
+  const outcomes = await Promise.all(requests.map(async (loadRequest, i) => {
+    await sleep(Math.max(0, loadRequest.atMs - (performance.now() - startedAtMs)))
+    return sendWithRetries(loadRequest, opts.addresses[i % opts.addresses.length], agent, opts, startedAtMs)
   }))
   await agent.destroy()
   return outcomes
 }
 
-async function sendWithReturns (one: LoadRequest, address: string, agent: Agent, opts: RunLoadOptions, startedAtMs: number): Promise<LoadOutcome> {
+async function sendWithRetries (loadRequest: LoadRequest, address: string, agent: Agent, opts: RunLoadOptions, startedAtMs: number): Promise<LoadOutcome> {
   let key: string | undefined
-  for (let returns = 0; ; returns++) {
-    const { key: usedKey, ...sent } = await send(one, address, agent, opts, startedAtMs, key)
-    const outcome = { ...sent, returns }
-    key = usedKey
-    const comesBack = outcome.verdict === Verdict.NotRun && outcome.retryAfterMs !== undefined && returns < (opts.maxReturns ?? 0)
-    if (!comesBack) return outcome
+  for (let retries = 0; ; retries++) {
+    const { key: issuedKey, ...sent } = await send(loadRequest, address, agent, opts, startedAtMs, key)
+    const outcome = { ...sent, returns: retries }
+    key = issuedKey
+    const shouldRetry = outcome.verdict === Verdict.NotRun && outcome.retryAfterMs !== undefined && retries < (opts.maxRetries ?? 0)
+    if (!shouldRetry) return outcome
     await sleep(outcome.retryAfterMs)
   }
 }
 
-async function send (one: LoadRequest, address: string, agent: Agent, { model }: RunLoadOptions, epochMs: number, key?: string): Promise<Omit<LoadOutcome, 'returns'> & { key?: string }> {
+async function send (loadRequest: LoadRequest, address: string, agent: Agent, { model }: RunLoadOptions, loadStartMs: number, key?: string): Promise<Omit<LoadOutcome, 'returns'> & { key?: string }> {
   const received = new ReceivedAnswer()
   try {
     const response = await request(`http://${address}/v1/completions`, {
       dispatcher: agent,
       method: 'POST',
-      headers: { 'content-type': 'application/json', 'reelspan-client': one.client, ...key !== undefined && { 'idempotency-key': key } },
-      body: JSON.stringify({ model, prompt: one.prompt, max_tokens: one.maxTokens, stream: true }),
+      headers: { 'content-type': 'application/json', 'reelspan-client': loadRequest.client, ...key !== undefined && { 'idempotency-key': key } },
+      body: JSON.stringify({ model, prompt: loadRequest.prompt, max_tokens: loadRequest.maxTokens, stream: true }),
     })
-    if (response.statusCode === 200) for await (const part of sseParts(response.body)) received.take(part)
-    else received.take(await response.body.json() as SsePart)
+    if (response.statusCode === 200) for await (const part of parseSseParts(response.body)) received.append(part)
+    else received.append(await response.body.json() as SsePart)
   } catch {
-    // The verdict below says that nothing is known.
+    // Without a verdict from the box, the outcome below is MayHaveRun.
   }
   const { end } = received
   return {
     key: end?.key,
-    id: one.id,
-    client: one.client,
-    startedAtMs: received.sentAtMs - epochMs,
+    id: loadRequest.id,
+    client: loadRequest.client,
+    startedAtMs: received.sentAtMs - loadStartMs,
     verdict: end?.verdict ?? Verdict.MayHaveRun,
     code: end?.code,
     retryAfterMs: end?.retryAfterMs,
     ttftMs: received.ttftMs,
     tbtMs: received.tbtMs,
     endMs: performance.now() - received.sentAtMs,
-    whole: received.text === expectedAnswer(one.prompt, one.maxTokens),
+    correct: received.text === expectedAnswer(loadRequest.prompt, loadRequest.maxTokens),
   }
 }
 
-/** What a caller has received of an answer so far, and when. */
+/** The part of an answer received so far, with the times of its tokens. */
 class ReceivedAnswer {
   readonly sentAtMs = performance.now()
   readonly tbtMs: number[] = []
   text = ''
   ttftMs?: number
   end?: SsePart['reelspan']
-  #lastAtMs = this.sentAtMs
+  #lastTokenAtMs = this.sentAtMs
 
-  take ({ reelspan, choices }: SsePart): void {
+  append ({ reelspan, choices }: SsePart): void {
     if (reelspan) this.end = reelspan
     const text = choices?.[0]?.text
     if (!text) return
     const nowMs = performance.now()
     if (this.ttftMs === undefined) this.ttftMs = nowMs - this.sentAtMs
-    else this.tbtMs.push(nowMs - this.#lastAtMs)
-    this.#lastAtMs = nowMs
+    else this.tbtMs.push(nowMs - this.#lastTokenAtMs)
+    this.#lastTokenAtMs = nowMs
     this.text += text
   }
 }
 
-async function * sseParts (body: AsyncIterable<Uint8Array>): AsyncGenerator<SsePart> {
+async function * parseSseParts (body: AsyncIterable<Uint8Array>): AsyncGenerator<SsePart> {
   const decoder = new TextDecoder()
   let pending = ''
   for await (const chunk of body) {
--- a/__utils__/bench/src/runMemberHost.ts
+++ b/__utils__/bench/src/runMemberHost.ts
@@ -1,7 +1,7 @@
 import { type Member } from '@reelspan/core.messages'
 import { MemberHost } from './memberHost.js'
 
-/** What the measuring process asks of a process of members. Each is answered with a message. */
+/** Commands from the measuring process to a member host. Each is answered with a message. */
 export type HostCommand =
   | { type: 'start', ports: number[], ownFrom: number, ownCount: number }
   | { type: 'begin', members: Member[] }
@@ -9,7 +9,7 @@
   | { type: 'change' }
   | { type: 'lastHeard' }
 
-/** Runs a process of members until its parent goes. */
+/** Runs a member host until its parent process disconnects. */
 export function runMemberHost (): void {
   let host: MemberHost | undefined
   process.once('disconnect', () => process.exit(0))
@@ -22,10 +22,10 @@
       case 'start':
         host = await MemberHost.start(command.ports, command.ownFrom, command.ownCount)
         return host.members()
-      case 'begin': return host?.begin(command.members)
+      case 'begin': return host?.startProbers(command.members)
       case 'usage': return host?.usage()
       case 'change': return host?.change()
-      case 'lastHeard': return host?.lastHeardAtMs()
+      case 'lastHeard': return host?.lastAdoptedAtMs()
     }
   }
 }
--- a/__utils__/bench/src/runVirtualLoad.ts
+++ b/__utils__/bench/src/runVirtualLoad.ts
@@ -2,10 +2,10 @@
 import { FakeFleet } from '@reelspan/utils.fake-fleet'
 import { expectedAnswer } from '@reelspan/utils.fakes'
 import { type PrefixIndexKind } from '@reelspan/scheduling.prefix-index'
-import { BASELINE_REPORTS } from './baselineReports.js'
+import { BASELINE_REPORT_SETTINGS } from './baselineReports.js'
 import { Condition } from './condition.js'
-import { drawLoad, type LoadRequest, type LoadShape } from './loadShape.js'
-import { addStats, type EngineStats, NO_STATS } from './readEngineStats.js'
+import { generateLoad, type LoadRequest, type LoadShape } from './loadShape.js'
+import { addStats, type EngineStats, ZERO_STATS } from './readEngineStats.js'
 import { type LoadOutcome } from './runLoad.js'
 
 export interface VirtualLoadOptions {
@@ -17,12 +17,12 @@
   seed: number
   requestsPerSecond: number
   durationMs: number
-  /** Only what is sent after this is counted. */
+  /** Requests sent earlier are not counted. */
   warmUpMs: number
-  faultAfterMs: number
-  /** Times that a refused request comes back when it is told to. */
-  maxReturns: number
-  /** Part of the requests that one client account sends beside all others' load. */
+  faultDelayMs: number
+  /** Maximum number of retries of a refused request that carries a retry time. */
+  maxRetries: number
+  /** Load that one additional client account sends, as a share of the load of all others. */
   floodShare: number
 }
 
@@ -30,34 +30,35 @@
   requests: LoadRequest[]
   outcomes: LoadOutcome[]
   engines: EngineStats
+  /** Mean share of the engines' KV memory in use. */
   kvShare: number
 }
 
-/** The account that floods. Its own requests are not counted. */
+/** The client account that sends the additional load. Its own requests are left out of the summary. */
 export const FLOOD_CLIENT = 'flood'
 
 const REPORT_LAG_MS = 500
-const LIMIT_MS = 120_000
-const SAMPLE_MS = 500
+const RUN_TIMEOUT_MS = 120_000
+const SAMPLE_PERIOD_MS = 500
 const FROZEN_ZONE = 'hall-c'
 
 /**
- * Runs the same boxes and engines as the bench does, in one program on a
- * virtual clock: the same figures each time, and nothing of the machine in them.
+ * Runs the boxes and engines of the benchmark in one process on a virtual clock,
+ * so that results are repeatable and do not depend on the machine's speed.
  */
 export async function runVirtualLoad (opts: VirtualLoadOptions): Promise<VirtualLoadResult> {
   const { strategy, index, admission, shape, seed, requestsPerSecond, durationMs, warmUpMs } = opts
   const fleet = await new FakeFleet({
-    settings: { scheduling: { ...strategy !== 'scheduler' && BASELINE_REPORTS, strategy, prefixIndex: index, admission, countOwn: admission } },
+    settings: { scheduling: { ...strategy !== 'scheduler' && BASELINE_REPORT_SETTINGS, strategy, prefixIndex: index, admission, countOwn: admission } },
     engine: { reportLagMs: REPORT_LAG_MS },
   }).start()
-  const load = drawLoad(new SeededRandom(seed), shape, { requestsPerSecond, durationMs, name: 'r' })
-  const requests = [...load, ...drawFlood(opts)].sort((a, b) => a.atMs - b.atMs)
-  const measured = measure(fleet, warmUpMs, durationMs)
-  const faulted = impose(opts.condition, fleet, warmUpMs + opts.faultAfterMs)
-  const outcomes = await fleet.clock.run(Promise.all(requests.map((one, i) => send(fleet, one, i, opts))), LIMIT_MS)
+  const load = generateLoad(new SeededRandom(seed), shape, { requestsPerSecond, durationMs, name: 'r' })
+  const requests = [...load, ...generateFlood(opts)].sort((a, b) => a.atMs - b.atMs)
+  const measured = sampleFleet(fleet, warmUpMs, durationMs)
+  const faultInjected = injectFault(opts.condition, fleet, warmUpMs + opts.faultDelayMs)
+  const outcomes = await fleet.clock.run(Promise.all(requests.map((loadRequest, i) => send(fleet, loadRequest, i, opts))), RUN_TIMEOUT_MS)
   const { engines, kvShare } = await fleet.clock.run(measured)
-  await fleet.clock.run(faulted)
+  await fleet.clock.run(faultInjected)
   await fleet.stop()
   return {
     requests: requests.filter(({ atMs }) => atMs >= warmUpMs),
@@ -67,52 +68,52 @@
   }
 }
 
-function drawFlood ({ shape, seed, requestsPerSecond, durationMs, floodShare }: VirtualLoadOptions): LoadRequest[] {
+function generateFlood ({ shape, seed, requestsPerSecond, durationMs, floodShare }: VirtualLoadOptions): LoadRequest[] {
   if (floodShare === 0) return []
-  const flood = drawLoad(new SeededRandom(seed + 1), shape, { requestsPerSecond: requestsPerSecond * floodShare, durationMs, name: 'flood' })
-  return flood.map((one) => ({ ...one, client: FLOOD_CLIENT }))
+  const flood = generateLoad(new SeededRandom(seed + 1), shape, { requestsPerSecond: requestsPerSecond * floodShare, durationMs, name: 'flood' })
+  return flood.map((loadRequest) => ({ ...loadRequest, client: FLOOD_CLIENT }))
 }
 
-async function send (fleet: FakeFleet, one: LoadRequest, i: number, { shape, maxReturns }: VirtualLoadOptions): Promise<LoadOutcome> {
-  await fleet.clock.sleep(one.atMs)
+async function send (fleet: FakeFleet, loadRequest: LoadRequest, i: number, { shape, maxRetries }: VirtualLoadOptions): Promise<LoadOutcome> {
+  await fleet.clock.sleep(loadRequest.atMs)
   const sentAtMs = fleet.clock.nowMs()
   const boxes = fleet.liveBoxes()
   const { name } = boxes[i % boxes.length]
-  const { maxTokens, client, prompt } = one
+  const { maxTokens, client, prompt } = loadRequest
   const request = fleet.completion(name, prompt, { maxTokens, client, ttftTargetMs: shape.ttftTargetMs, tbtTargetMs: shape.tbtTargetMs })
-  for (let returns = 0; ; returns++) {
+  for (let retries = 0; ; retries++) {
     const outcome = await fleet.send(name, request)
     const { verdict, code, retryAfterMs, tokenAtMs, endMs, text } = outcome
-    if (retryAfterMs === undefined || returns >= maxReturns) {
+    if (retryAfterMs === undefined || retries >= maxRetries) {
       const tbtMs = tokenAtMs.slice(1).map((atMs, k) => atMs - tokenAtMs[k])
-      return { id: one.id, client, startedAtMs: sentAtMs, verdict, code, retryAfterMs, ttftMs: tokenAtMs[0], tbtMs, endMs, whole: text === expectedAnswer(prompt, maxTokens), returns }
+      return { id: loadRequest.id, client, startedAtMs: sentAtMs, verdict, code, retryAfterMs, ttftMs: tokenAtMs[0], tbtMs, endMs, correct: text === expectedAnswer(prompt, maxTokens), returns: retries }
     }
     await fleet.clock.sleep(retryAfterMs)
   }
 }
 
-async function measure (fleet: FakeFleet, warmUpMs: number, durationMs: number): Promise<{ engines: EngineStats, kvShare: number }> {
+async function sampleFleet (fleet: FakeFleet, warmUpMs: number, durationMs: number): Promise<{ engines: EngineStats, kvShare: number }> {
   await fleet.clock.sleep(warmUpMs)
-  const before = readStats(fleet)
-  const shares: number[] = []
-  for (let atMs = warmUpMs; atMs < durationMs; atMs += SAMPLE_MS) {
-    const { kvBytesUsed, kvBytesTotal } = readStats(fleet)
-    shares.push(kvBytesUsed / kvBytesTotal)
-    await fleet.clock.sleep(SAMPLE_MS)
+  const before = sumEngineStats(fleet)
+  const kvShares: number[] = []
+  for (let atMs = warmUpMs; atMs < durationMs; atMs += SAMPLE_PERIOD_MS) {
+    const { kvBytesUsed, kvBytesTotal } = sumEngineStats(fleet)
+    kvShares.push(kvBytesUsed / kvBytesTotal)
+    await fleet.clock.sleep(SAMPLE_PERIOD_MS)
   }
-  return { engines: addStats(readStats(fleet), before, -1), kvShare: shares.reduce((sum, share) => sum + share, 0) / shares.length }
+  return { engines: addStats(sumEngineStats(fleet), before, -1), kvShare: kvShares.reduce((sum, share) => sum + share, 0) / kvShares.length }
 }
 
-function readStats (fleet: FakeFleet): EngineStats {
+function sumEngineStats (fleet: FakeFleet): EngineStats {
   return fleet.allEngines()
     .map(({ stats, kvBytesUsed, kvBytesTotal }) => ({ ...stats, kvBytesUsed, kvBytesTotal }))
-    .reduce((sum, one) => addStats(sum, one), NO_STATS)
+    .reduce((sum, engineStats) => addStats(sum, engineStats), ZERO_STATS)
 }
 
-async function impose (condition: Condition, fleet: FakeFleet, atMs: number): Promise<void> {
-  await fleet.clock.sleep(atMs)
+async function injectFault (condition: Condition, fleet: FakeFleet, delayMs: number): Promise<void> {
+  await fleet.clock.sleep(delayMs)
   switch (condition) {
-    case Condition.Calm:
+    case Condition.NoFault:
       return
     case Condition.EngineLost:
       fleet.killEngine('decode-2')
@@ -127,7 +128,7 @@
     case Condition.CacheEventsLost:
       fleet.engines.forEach(({ faults }) => { faults.loseCacheEvents = true })
       return
-    case Condition.PlatformGone:
+    case Condition.PlatformOutage:
       fleet.platform.outage = true
   }
 }
--- a/__utils__/bench/src/slopes.ts
+++ b/__utils__/bench/src/slopes.ts
@@ -15,16 +15,16 @@
 const RUN_COUNTS = [100, 500, 2000]
 
 const PARTS = {
-  state: slopeOfState,
-  scheduler: slopeOfScheduler,
-  records: slopeOfRecords,
-  runs: slopeOfRuns,
-  box: slopeOfBox,
-  idle: slopeOfIdleBox,
-  membership: slopeOfMembership,
+  state: printStateCosts,
+  scheduler: printSchedulerCosts,
+  records: printRecordCosts,
+  runs: printRunCosts,
+  box: printBoxCosts,
+  idle: printIdleBoxCosts,
+  membership: printMembershipCosts,
 }
 
-/** Measures what each thing costs on this machine and prints the slopes, with the error of each fit. */
+/** Measures the costs of each part on this machine and prints how they grow with the size of the deployment, with the error of each linear fit. */
 export async function slopes (argv: readonly string[]): Promise<void> {
   const { values } = parseArgs({ args: [...argv], options: { parts: { type: 'string', default: Object.keys(PARTS).join(',') } } })
   for (const name of values.parts.split(',')) {
@@ -33,60 +33,60 @@
   }
 }
 
-async function slopeOfState (): Promise<void> {
-  console.log(`${measurePrefixEntry().toFixed(0)} bytes of heap a prefix entry, ${measureWatch().toFixed(0)} bytes a waiting watch`)
+async function printStateCosts (): Promise<void> {
+  console.log(`${measurePrefixEntry().toFixed(0)} bytes of heap per prefix entry, ${measureWatch().toFixed(0)} bytes per waiting watch`)
   const points = ROUTE_COUNTS.map((routes) => ({ x: routes, y: measureChange(routes) }))
-  points.forEach(({ x, y }) => console.log(`a change beside ${x} routes: ${y.toFixed(0)} µs`))
-  printFit('µs a change, by resource', points)
+  points.forEach(({ x, y }) => console.log(`a change in a configuration with ${x} routes: ${y.toFixed(0)} µs`))
+  printFit('µs per change, by resource', points)
 }
 
-async function slopeOfMembership (): Promise<void> {
+async function printMembershipCosts (): Promise<void> {
   for (const count of MEMBER_COUNTS) {
     const cost = await measureMembership(count)
-    console.log(`${count} members: ${cost.cpuPercent.toFixed(2)}% of a core and ${(cost.bytesPerSecond / 1000).toFixed(2)} KB/s a node, ${cost.connections.toFixed(1)} outgoing connections, a change reaches all in ${cost.spreadMs.toFixed(0)} ms, ${cost.suspected} suspected`)
+    console.log(`${count} members: ${cost.cpuPercent.toFixed(2)}% of a core and ${(cost.bytesPerSecond / 1000).toFixed(2)} KB/s per node, ${cost.connections.toFixed(1)} outgoing connections per node, a change reaches all nodes in ${cost.propagationMs.toFixed(0)} ms, ${cost.suspected} suspected`)
   }
 }
 
-async function slopeOfScheduler (): Promise<void> {
+async function printSchedulerCosts (): Promise<void> {
   const points = []
   for (const engines of SCHEDULER_ENGINES) {
     const cost = await measureScheduler(engines)
-    console.log(`${engines} engines a pool: ${cost.microsecondsPerReservation.toFixed(0)} µs a reservation, ${(100 * cost.placedShare).toFixed(0)}% placed`)
+    console.log(`${engines} engines per pool: ${cost.microsecondsPerReservation.toFixed(0)} µs per reservation, ${(100 * cost.placedShare).toFixed(0)}% placed`)
     points.push({ x: engines, y: cost.microsecondsPerReservation })
   }
-  printFit('µs a reservation, by engine', points)
+  printFit('µs per reservation, by engine', points)
 }
 
-async function slopeOfRecords (): Promise<void> {
+async function printRecordCosts (): Promise<void> {
   const costs = RECORD_TOKENS.map(measureRecords)
-  costs.forEach((cost) => console.log(`${cost.tokens} tokens: ${cost.heapBytesPerRecord.toFixed(0)} bytes of heap (${cost.countedBytesPerRecord.toFixed(0)} counted), ${cost.microsecondsPerRecord.toFixed(1)} µs`))
-  printFit('heap bytes a record, by token', costs.map(({ tokens, heapBytesPerRecord }) => ({ x: tokens, y: heapBytesPerRecord })))
-  printFit('µs a record, by token', costs.map(({ tokens, microsecondsPerRecord }) => ({ x: tokens, y: microsecondsPerRecord })))
+  costs.forEach((cost) => console.log(`${cost.tokens} tokens: ${cost.heapBytesPerRecord.toFixed(0)} bytes of heap (${cost.countedBytesPerRecord.toFixed(0)} counted) and ${cost.microsecondsPerRecord.toFixed(1)} µs per record`))
+  printFit('heap bytes per record, by token', costs.map(({ tokens, heapBytesPerRecord }) => ({ x: tokens, y: heapBytesPerRecord })))
+  printFit('µs per record, by token', costs.map(({ tokens, microsecondsPerRecord }) => ({ x: tokens, y: microsecondsPerRecord })))
 }
 
-async function slopeOfRuns (): Promise<void> {
+async function printRunCosts (): Promise<void> {
   RUN_COUNTS.map(measureRuns).forEach((cost) =>
-    console.log(`${cost.runs} ends of runs: ${cost.heapBytesPerRun.toFixed(0)} bytes of heap and ${cost.microsecondsPerRun.toFixed(1)} µs each, ${cost.microsecondsPerJudgement.toFixed(1)} µs a judgement`))
+    console.log(`${cost.runs} recorded runs: ${cost.heapBytesPerRun.toFixed(0)} bytes of heap and ${cost.microsecondsPerRun.toFixed(1)} µs each, ${cost.microsecondsPerDecision.toFixed(1)} µs per quarantine decision`))
 }
 
-async function slopeOfBox (): Promise<void> {
+async function printBoxCosts (): Promise<void> {
   const costs = await measureBox()
-  costs.forEach(({ what, count, tokens, milliseconds }) => console.log(`${count} ${what}s${what === 'completion' ? ` of ${tokens} tokens` : ''}: ${milliseconds.toFixed(0)} ms of processor time, ${(1000 * milliseconds / count).toFixed(0)} µs each`))
-  const completions = costs.filter(({ what }) => what === 'completion')
-  printFit('µs a completion, by token', completions.map(({ tokens, milliseconds, count }) => ({ x: tokens, y: 1000 * milliseconds / count })))
+  costs.forEach(({ workload, count, tokens, cpuMs }) => console.log(`${count} ${workload}s${workload === 'completion' ? ` of ${tokens} tokens` : ''}: ${cpuMs.toFixed(0)} ms of CPU time, ${(1000 * cpuMs / count).toFixed(0)} µs each`))
+  const completions = costs.filter(({ workload }) => workload === 'completion')
+  printFit('µs per completion, by token', completions.map(({ tokens, cpuMs, count }) => ({ x: tokens, y: 1000 * cpuMs / count })))
 }
 
-async function slopeOfIdleBox (): Promise<void> {
+async function printIdleBoxCosts (): Promise<void> {
   const points = []
   for (const engines of IDLE_ENGINES) {
     const { cpuPercent } = await measureIdleBox(engines)
     console.log(`${engines} engines: ${cpuPercent.toFixed(2)}% of a core`)
     points.push({ x: engines, y: cpuPercent })
   }
-  printFit('% of a core, by engine looked after', points)
+  printFit('% of a core, by engine', points)
 }
 
-function printFit (what: string, points: readonly { x: number, y: number }[]): void {
-  const { perUnit, base, error } = fitLine(points)
-  console.log(`fit: ${base.toPrecision(3)} + ${perUnit.toPrecision(3)} x (${what}); worst point off by ${(100 * error).toFixed(0)}% of the largest`)
+function printFit (label: string, points: readonly { x: number, y: number }[]): void {
+  const { slope, intercept, error } = fitLine(points)
+  console.log(`fit: ${intercept.toPrecision(3)} + ${slope.toPrecision(3)} x (${label}); maximum deviation ${(100 * error).toFixed(0)}% of the largest value`)
 }
--- a/__utils__/bench/test/processes.ts
+++ b/__utils__/bench/test/processes.ts
@@ -5,14 +5,14 @@
 import { fileURLToPath } from 'node:url'
 import test, { type ExecutionContext } from 'ava'
 
-const WORK_MS = 400
-const CTL = fileURLToPath(import.meta.resolve('reelspanctl').replace('lib/index.js', 'bin/reelspanctl.js'))
+const SERVICE_DURATION_MS = 400
+const REELSPANCTL_SCRIPT = fileURLToPath(import.meta.resolve('reelspanctl').replace('lib/index.js', 'bin/reelspanctl.js'))
 
 async function startFleet (t: ExecutionContext): Promise<ProcessFleet> {
   const boxes = ['hall-a', 'hall-b', 'hall-c'].map((availabilityZone, i) => ({ name: `box-${i + 1}`, availabilityZone }))
   const engine = (name: string, pool: string) => ({ name, kind: UpstreamKind.Engine, pool, availabilityZone: 'hall-a' })
   const fleet = await ProcessFleet.start({
-    serviceWorkMs: WORK_MS,
+    serviceWorkMs: SERVICE_DURATION_MS,
     settings: { requests: { lookupKeepMs: 500, longestRequestMs: 5000 } },
     deployment: {
       boxes,
@@ -26,86 +26,86 @@
   return fleet
 }
 
-interface Booked {
+interface BookingResult {
   verdict: string | null
   body: string
 }
 
-async function keyOf (fleet: ProcessFleet, boxName: string, own: string): Promise<string> {
+async function createKey (fleet: ProcessFleet, boxName: string, suffix: string): Promise<string> {
   const response = await fetch(`http://${fleet.box(boxName).callerAddress}/v1/lookup`)
-  return `${(await response.json() as { keyPrefix: string }).keyPrefix}.${own}`
+  return `${(await response.json() as { keyPrefix: string }).keyPrefix}.${suffix}`
 }
 
-async function book (fleet: ProcessFleet, boxName: string, key: string): Promise<Booked> {
+async function book (fleet: ProcessFleet, boxName: string, key: string): Promise<BookingResult> {
   const response = await fetch(`http://${fleet.box(boxName).callerAddress}/desk/bookings`, { method: 'POST', headers: { 'idempotency-key': key }, body: 'crew' }).catch(() => undefined)
   return { verdict: response?.headers.get('reelspan-verdict') ?? null, body: await response?.text().catch(() => '') ?? '' }
 }
 
-async function runsOf (fleet: ProcessFleet): Promise<Record<string, number>> {
+async function readRunCounts (fleet: ProcessFleet): Promise<Record<string, number>> {
   const response = await fetch(`http://${fleet.upstreams.get('desk-1')?.address}/stand-in/runs`)
   return await response.json() as Record<string, number>
 }
 
-/** Resolves once the service has begun the call. */
-async function waitBegun (fleet: ProcessFleet, key: string): Promise<void> {
-  while (!((await runsOf(fleet))[key] > 0)) await sleep(5)
+/** Resolves once the service has started to process the call. */
+async function waitUntilStarted (fleet: ProcessFleet, key: string): Promise<void> {
+  while (!((await readRunCounts(fleet))[key] > 0)) await sleep(5)
 }
 
-test.serial('SIGKILL of the owner in the middle of a booking: it ran once, and nobody claims otherwise', async (t) => {
+test.serial('after a SIGKILL of the owner during a booking, the booking has run once and all callers get mayHaveRun', async (t) => {
   const fleet = await startFleet(t)
-  const key = await keyOf(fleet, 'box-1', 'kill')
+  const key = await createKey(fleet, 'box-1', 'kill')
   const first = book(fleet, 'box-2', key)
-  await waitBegun(fleet, key)
+  await waitUntilStarted(fleet, key)
   await fleet.box('box-1').process.kill()
   t.is((await first).verdict, 'mayHaveRun')
   t.is((await book(fleet, 'box-3', key)).verdict, 'mayHaveRun')
   await fleet.restartBox('box-1')
   t.is((await book(fleet, 'box-1', key)).verdict, 'mayHaveRun')
-  t.is((await runsOf(fleet))[key], 1)
+  t.is((await readRunCounts(fleet))[key], 1)
 })
 
-test.serial('SIGSTOP of the owner in the middle of a booking: retries wait for it and get its one answer', async (t) => {
+test.serial('during a SIGSTOP of the owner, a retry of a booking waits for the owner and gets the same answer', async (t) => {
   const fleet = await startFleet(t)
-  const key = await keyOf(fleet, 'box-1', 'stop')
+  const key = await createKey(fleet, 'box-1', 'stop')
   const first = book(fleet, 'box-2', key)
-  await waitBegun(fleet, key)
+  await waitUntilStarted(fleet, key)
   fleet.box('box-1').process.signal('SIGSTOP')
   const retry = book(fleet, 'box-3', key)
-  await sleep(2 * WORK_MS)
+  await sleep(2 * SERVICE_DURATION_MS)
   fleet.box('box-1').process.signal('SIGCONT')
   const answers = await Promise.all([first, retry])
   t.deepEqual(answers.map(({ verdict }) => verdict), ['finished', 'finished'])
   t.is(answers[0].body, answers[1].body)
-  t.is((await runsOf(fleet))[key], 1)
+  t.is((await readRunCounts(fleet))[key], 1)
 })
 
-test.serial('SIGTERM completes what runs, hands the records over, and exits with 0', async (t) => {
+test.serial('on SIGTERM a box finishes running requests, hands its records over and exits with code 0', async (t) => {
   const fleet = await startFleet(t)
-  const key = await keyOf(fleet, 'box-1', 'term')
+  const key = await createKey(fleet, 'box-1', 'term')
   const first = book(fleet, 'box-1', key)
-  await waitBegun(fleet, key)
+  await waitUntilStarted(fleet, key)
   fleet.box('box-1').process.signal('SIGTERM')
   t.is((await first).verdict, 'finished')
   t.is(await fleet.box('box-1').process.waitExit(), 0)
   const retry = await book(fleet, 'box-2', key)
   t.is(retry.verdict, 'finished')
   t.is(retry.body, (await first).body)
-  t.is((await runsOf(fleet))[key], 1)
+  t.is((await readRunCounts(fleet))[key], 1)
 })
 
-test.serial('a history of concurrent bookings with kills and freezes: one run each at most, and no false word', async (t) => {
+test.serial('concurrent bookings during a kill and a freeze of boxes run at most once, and their verdicts are correct', async (t) => {
   const fleet = await startFleet(t)
   const boxes = ['box-1', 'box-2', 'box-3']
-  const history: { key: string, answers: Booked[] }[] = []
-  const caller = async (id: number) => {
+  const history: { key: string, answers: BookingResult[] }[] = []
+  const sendBookings = async (id: number) => {
     for (let i = 0; i < 3; i++) {
-      const key = await keyOf(fleet, boxes[(id + i) % 3], `h${id}-${i}`).catch(() => undefined)
+      const key = await createKey(fleet, boxes[(id + i) % 3], `h${id}-${i}`).catch(() => undefined)
       if (key === undefined) continue
       const answers = await Promise.all([book(fleet, boxes[id % 3], key), book(fleet, boxes[(id + 1) % 3], key)])
       history.push({ key, answers: [...answers, await book(fleet, boxes[(id + 2) % 3], key)] })
     }
   }
-  const callers = Array.from({ length: 8 }, (_, id) => caller(id))
+  const callers = Array.from({ length: 8 }, (_, id) => sendBookings(id))
   await sleep(300)
   await fleet.box('box-2').process.kill()
   await fleet.restartBox('box-2')
@@ -113,7 +113,7 @@
   await sleep(700)
   fleet.box('box-3').process.signal('SIGCONT')
   await Promise.all(callers)
-  const runs = await runsOf(fleet)
+  const runs = await readRunCounts(fleet)
   t.true(history.length > 10)
   history.forEach(({ key, answers }) => {
     t.true((runs[key] ?? 0) <= 1, `${key} ran ${runs[key]} times`)
@@ -123,14 +123,14 @@
   })
 })
 
-test.serial('operators read resources, status, dump and metrics from any box', async (t) => {
+test.serial('operators can read resources, status, dump and metrics from any box', async (t) => {
   const fleet = await startFleet(t)
-  const ctl = (...args: string[]) => new Promise<string>((resolve) => execFile(process.execPath, [CTL, ...args, '--box', fleet.box('box-3').operatorAddress], (_error, out) => resolve(out)))
-  t.regex(await ctl('list'), /Route\/bookings {2}revision 1/)
-  t.like(JSON.parse(await ctl('get', 'Route', 'bookings')), { kind: 'Route', spec: { notRepeatable: true } })
-  t.regex(await ctl('status', 'Model', 'draft'), /shard draft {2}accounted for by box-\d/)
-  t.is(JSON.parse(await ctl('dump')).members.length, 3)
-  t.regex(await ctl('metrics'), /# TYPE reelspan_requests_in_flight gauge/)
-  t.regex(JSON.parse(await ctl('lookup')).keyPrefix, /^rs1-/)
-  t.is((await ctl('watch', '--once')).trim().split('\n').length, 7)
+  const runCtl = (...args: string[]) => new Promise<string>((resolve) => execFile(process.execPath, [REELSPANCTL_SCRIPT, ...args, '--box', fleet.box('box-3').operatorAddress], (_error, out) => resolve(out)))
+  t.regex(await runCtl('list'), /Route\/bookings {2}revision 1/)
+  t.like(JSON.parse(await runCtl('get', 'Route', 'bookings')), { kind: 'Route', spec: { notRepeatable: true } })
+  t.regex(await runCtl('status', 'Model', 'draft'), /shard draft {2}accounted for by box-\d/)
+  t.is(JSON.parse(await runCtl('dump')).members.length, 3)
+  t.regex(await runCtl('metrics'), /# TYPE reelspan_requests_in_flight gauge/)
+  t.regex(JSON.parse(await runCtl('lookup')).keyPrefix, /^rs1-/)
+  t.is((await runCtl('watch', '--once')).trim().split('\n').length, 7)
 })
