--- a/net/platform-http/src/httpPlatformReader.ts
+++ b/net/platform-http/src/httpPlatformReader.ts
@@ -9,7 +9,7 @@
   clock: Clock
   /** `ip:port` of the platform's read service; tried in order. */
   addresses: readonly string[]
-  /** An answer is given up this long after its wait. */
+  /** Timeout of a response, from the end of its wait. */
   timeoutMs: number
 }
 
@@ -24,12 +24,12 @@
   })),
 })
 
-const CONNECTIONS = 4
+const MAX_CONNECTIONS = 4
 
 /** Reads the platform's published collections: `GET /v1/<collection>?since=<revision>&waitMs=<ms>`. */
 export class HttpPlatformReader extends PlatformReader {
   readonly #opts: HttpPlatformReaderOptions
-  #agent = new Agent({ connections: CONNECTIONS })
+  #agent = new Agent({ connections: MAX_CONNECTIONS })
   #lastAnswerMs = Number.NEGATIVE_INFINITY
 
   constructor (opts: HttpPlatformReaderOptions) {
@@ -61,9 +61,9 @@
   async #readFrom (address: string, collection: Collection, sinceRevision: number, { waitMs, signal }: PlatformReadOptions): Promise<RevisionedContent> {
     const { clock, timeoutMs } = this.#opts
     const agent = this.#agent
-    return withDeadline(clock, { timeoutMs: waitMs + timeoutMs, signal }, async (until) => {
+    return withDeadline(clock, { timeoutMs: waitMs + timeoutMs, signal }, async (deadlineSignal) => {
       try {
-        const response = await request(`http://${address}/v1/${collection}?since=${sinceRevision}&waitMs=${waitMs}`, { dispatcher: agent, signal: until, headersTimeout: 0, bodyTimeout: 0 })
+        const response = await request(`http://${address}/v1/${collection}?since=${sinceRevision}&waitMs=${waitMs}`, { dispatcher: agent, signal: deadlineSignal, headersTimeout: 0, bodyTimeout: 0 })
         if (response.statusCode !== 200) {
           await response.body.dump()
           throw new ReelspanError(ErrorCode.PlatformUnavailable, `status ${response.statusCode}`)
@@ -72,15 +72,15 @@
         this.#lastAnswerMs = clock.nowMs()
         return content
       } finally {
-        if (until.aborted && !signal?.aborted) this.#leaveConnections(agent)
+        if (deadlineSignal.aborted && !signal?.aborted) this.#replaceAgent(agent)
       }
     })
   }
 
-  /** Connections may go silent together. Those that still wait for an answer are closed after it, or at its time-out. */
-  #leaveConnections (agent: Agent): void {
+  /** Opens new connections for the next reads, since all may have become unresponsive at once. Old ones are closed after their pending responses or timeouts. */
+  #replaceAgent (agent: Agent): void {
     if (this.#agent !== agent) return
-    this.#agent = new Agent({ connections: CONNECTIONS })
+    this.#agent = new Agent({ connections: MAX_CONNECTIONS })
     void agent.close()
   }
 }
--- a/net/platform-http/test/silentConnections.ts
+++ b/net/platform-http/test/httpPlatformReader.ts
@@ -6,15 +6,15 @@
 import { FaultProxy, Silence } from '@reelspan/utils.soak'
 import test from 'ava'
 
-for (const way of Object.values(Silence)) {
-  test(`a read whose connection went silent (${way}) ends a set time after its wait, and none of the next ones uses a connection from before`, async (t) => {
+for (const direction of Object.values(Silence)) {
+  test(`a read whose connection went silent (${direction}) ends a set time after its wait, and none of the next ones uses a connection from before`, async (t) => {
     const waiting: (() => void)[] = []
     // As many connections as the reader may have.
-    let together = 4
+    let batchSize = 4
     let connections = 0
     const server = createServer({ keepAliveTimeout: 60_000 }, (_, response) => {
       waiting.push(() => response.end(JSON.stringify({ revision: 1, full: true, changes: [] })))
-      if (waiting.length >= together) waiting.splice(0).forEach((answer) => answer())
+      if (waiting.length >= batchSize) waiting.splice(0).forEach((answer) => answer())
     })
     server.on('connection', () => { connections++ })
     server.listen(0, '127.0.0.1')
@@ -31,17 +31,17 @@
     })
     const read = () => reader.read(Collection.Fleet, 0, { waitMs: 100 })
     await Promise.all([read(), read(), read(), read()])
-    together = 1
-    together = 1
-    proxy.silenceOpen(way)
-    const arrived = way === Silence.ToClient ? once(server, 'request') : undefined
+    batchSize = 1
+    batchSize = 1
+    proxy.silenceOpen(direction)
+    const arrived = direction === Silence.ToClient ? once(server, 'request') : undefined
     const failed = t.throwsAsync(read(), { code: 'ERR_REELSPAN_PLATFORM_UNAVAILABLE' })
     await arrived
     await clock.advance(299)
     t.is(await Promise.race([failed, 'waits']), 'waits')
     await clock.advance(1)
     await failed
-    together = 4
+    batchSize = 4
     await Promise.all([read(), read(), read(), read()])
     t.true(connections >= 8)
   })
