--- a/net/platform-http/test/httpPlatformReader.ts
+++ b/net/platform-http/test/httpPlatformReader.ts
@@ -7,9 +7,9 @@
 import test from 'ava'
 
 for (const direction of Object.values(Silence)) {
-  test(`a read whose connection went silent (${direction}) ends a set time after its wait, and none of the next ones uses a connection from before`, async (t) => {
+  test(`a read on an unresponsive connection (${direction}) times out after its wait, and later reads use new connections only`, async (t) => {
     const waiting: (() => void)[] = []
-    // As many connections as the reader may have.
+    // The maximum number of connections of the reader.
     let batchSize = 4
     let connections = 0
     const server = createServer({ keepAliveTimeout: 60_000 }, (_, response) => {
