--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -110,7 +110,7 @@
   {
     name: 'keys stop at the box',
     file: 'platform/adapter/src/upstreamHeaders.ts',
-    find: '...keysAreAccounts ? KEY_HEADERS : []',
+    find: '...keysBelongToAccounts ? CREDENTIAL_HEADERS : []',
     replace: '',
     tests: ['platform/adapter/test.lib/accounts.js'],
   },
@@ -236,7 +236,7 @@
   {
     name: 'a client that ends its side of the connection has left',
     file: 'platform/adapter/src/httpCaller.ts',
-    find: "socket.once('end', leave)",
+    find: 'socket.once(\'end\', onDisconnect)',
     replace: '',
     tests: ['platform/adapter/test.lib/leftClient.js'],
   },
@@ -432,7 +432,7 @@
   {
     name: 'a box that takes no connections is not ready',
     file: 'platform/adapter/src/frontServers.ts',
-    find: ' && takesConnections() ?',
+    find: ' && acceptsConnections() ?',
     replace: ' ?',
     tests: ['platform/adapter/test.lib/frontServers.js'],
   },
