--- a/net/peer-link/src/frame.ts
+++ b/net/peer-link/src/frame.ts
@@ -2,15 +2,15 @@
 import { type PeerMessage, peerMessageSchema, PROTOCOL_VERSION } from '@reelspan/core.messages'
 import { Packr } from 'msgpackr'
 
-/** What a frame is for the exchange that its id names. */
+/** The role of a frame in the exchange with its id. */
 export enum FrameKind {
   Call = 0,
   Stream = 1,
-  /** The answer to a call, or one part of a stream. */
+  /** The answer to a call, or one message of a stream. */
   Answer = 2,
-  /** No more parts follow. */
+  /** The last frame of a stream. */
   End = 3,
-  /** The asking side wants no more. */
+  /** The requesting side cancels the stream. */
   Abort = 4,
 }
 
@@ -21,7 +21,7 @@
   message?: PeerMessage
 }
 
-const OLDEST_VERSION = 1
+const MIN_PROTOCOL_VERSION = 1
 
 const packr = new Packr({ useRecords: false, encodeUndefinedAsNil: false })
 
@@ -29,12 +29,12 @@
   return packr.pack([PROTOCOL_VERSION, id, kind, ...message ? [withoutUndefined(message)] : []])
 }
 
-/** Reads a frame. Throws `ERR_REELSPAN_PEER_PROTOCOL` for anything that is not one. */
+/** Decodes a frame. Throws `ERR_REELSPAN_PEER_PROTOCOL` if the bytes are not a valid frame. */
 export function decodeFrame (bytes: Buffer): Frame {
-  const unpacked = unpack(bytes)
-  if (!isFrame(unpacked)) throw protocolError('not a frame')
-  const [version, id, kind, body] = unpacked
-  if (version < OLDEST_VERSION) throw protocolError(`version ${version} is too old`)
+  const fields = unpack(bytes)
+  if (!isFrame(fields)) throw protocolError('not a valid frame')
+  const [version, id, kind, body] = fields
+  if (version < MIN_PROTOCOL_VERSION) throw protocolError(`protocol version ${version} is no longer supported`)
   if (body === undefined) return { version, id, kind }
   const message = peerMessageSchema.safeParse(body)
   if (!message.success) throw protocolError(message.error.issues.map(({ path, message: text }) => `${path.join('.')}: ${text}`).join('; '))
@@ -45,14 +45,14 @@
   try {
     return packr.unpack(bytes)
   } catch (cause) {
-    throw protocolError('not msgpack', cause)
+    throw protocolError('not valid msgpack', cause)
   }
 }
 
-/** Checked by hand, since each message between boxes is one. */
-function isFrame (unpacked: unknown): unpacked is [version: number, id: number, kind: FrameKind, body?: unknown] {
-  if (!Array.isArray(unpacked) || unpacked.length < 3 || unpacked.length > 4) return false
-  const [version, id, kind] = unpacked
+/** Validated without a schema for speed, since every message between boxes is a frame. */
+function isFrame (fields: unknown): fields is [version: number, id: number, kind: FrameKind, body?: unknown] {
+  if (!Array.isArray(fields) || fields.length < 3 || fields.length > 4) return false
+  const [version, id, kind] = fields
   return Number.isSafeInteger(version) && Number.isSafeInteger(id) && typeof kind === 'number' && FrameKind[kind] !== undefined
 }
 
@@ -61,5 +61,5 @@
 }
 
 function protocolError (reason: string, cause?: unknown): ReelspanError {
-  return new ReelspanError(ErrorCode.PeerProtocol, `message from a peer: ${reason}`, { cause })
+  return new ReelspanError(ErrorCode.PeerProtocol, `invalid message from a peer: ${reason}`, { cause })
 }
--- a/net/peer-link/src/linkTraffic.ts
+++ b/net/peer-link/src/linkTraffic.ts
@@ -1,27 +1,27 @@
 import { type Socket } from 'node:net'
 
-/** What went over the link so far, as sockets count it: compressed, with headers. */
+/** Counts the bytes sent and received over the link, as its sockets count them: compressed and with frame headers. */
 export class LinkTraffic {
   connectionsOpened = 0
-  readonly #open = new Set<Socket>()
-  #closedSentBytes = 0
-  #closedReceivedBytes = 0
+  readonly #openSockets = new Set<Socket>()
+  #sentBytesOfClosed = 0
+  #receivedBytesOfClosed = 0
 
   get sentBytes (): number {
-    return [...this.#open].reduce((sum, { bytesWritten }) => sum + bytesWritten, this.#closedSentBytes)
+    return [...this.#openSockets].reduce((sum, { bytesWritten }) => sum + bytesWritten, this.#sentBytesOfClosed)
   }
 
   get receivedBytes (): number {
-    return [...this.#open].reduce((sum, { bytesRead }) => sum + bytesRead, this.#closedReceivedBytes)
+    return [...this.#openSockets].reduce((sum, { bytesRead }) => sum + bytesRead, this.#receivedBytesOfClosed)
   }
 
-  /** Counts what passes a socket until it is closed. */
+  /** Adds a socket's bytes to the counts until it is closed. */
   count (socket: Socket): void {
-    this.#open.add(socket)
+    this.#openSockets.add(socket)
     socket.once('close', () => {
-      this.#open.delete(socket)
-      this.#closedSentBytes += socket.bytesWritten
-      this.#closedReceivedBytes += socket.bytesRead
+      this.#openSockets.delete(socket)
+      this.#sentBytesOfClosed += socket.bytesWritten
+      this.#receivedBytesOfClosed += socket.bytesRead
     })
   }
 }
--- a/net/peer-link/src/outgoingConnection.ts
+++ b/net/peer-link/src/outgoingConnection.ts
@@ -4,7 +4,7 @@
 import { WebSocket } from 'ws'
 import { decodeFrame, encodeFrame, FrameKind } from './frame.js'
 import { type LinkTraffic } from './linkTraffic.js'
-import { COMPRESS_FROM_BYTES, MESSAGE_COMPRESSION } from './messageCompression.js'
+import { COMPRESSION_THRESHOLD_BYTES, MESSAGE_COMPRESSION } from './messageCompression.js'
 
 export interface OutgoingConnectionOptions {
   clock: Clock
@@ -13,106 +13,107 @@
   idleCloseMs: number
   traffic: LinkTraffic
   onClosed: () => void
-  /** Opens another connection to the same peer, to see whether the peer answers there. */
-  openAnother: () => OutgoingConnection
-  /** Nothing came on this connection since then, while the peer answers on the other one, which takes its place. */
-  onSilent: (other: OutgoingConnection, sinceMs: number) => void
+  /** Opens another connection to the same peer, to check whether the peer answers on it. */
+  openReplacement: () => OutgoingConnection
+  /** This connection has received nothing since `idleSinceMs`, but the peer answers on the replacement, which is used from now on. */
+  onUnresponsive: (replacement: OutgoingConnection, idleSinceMs: number) => void
 }
 
-/** The WebSocket close code of a side that got a message larger than it takes. */
+/** The WebSocket close code of a side that received a message above its maximum size. */
 const MESSAGE_TOO_BIG = 1009
-/** What the library says of such a message when it comes. */
-const OVERSIZE_ERROR = 'WS_ERR_UNSUPPORTED_MESSAGE_LENGTH'
-/** Peers answer a ping within some milliseconds; what is outstanding for longer makes a connection worth looking at. */
-const QUIET_MS = 80
-/** Many times the way between availability zones, with room for a busy box. Together with the above well under a heartbeat's time-out. */
-const PONG_MS = 120
-/** What a peer that answers has to say on its other connections comes within this time. */
-const BOTH_MS = 50
-/** A peer decompresses and reads what it got at least as fast, in bytes of the message, also where it has a third of a core. */
-const PEER_READS_BYTES_PER_MS = 10_000
+/** The `ws` error code for a received message above the maximum size. */
+const TOO_LARGE_ERROR_CODE = 'WS_ERR_UNSUPPORTED_MESSAGE_LENGTH'
+/** A connection with a pending exchange that receives nothing for this long is pinged. Peers answer a ping within some milliseconds. */
+const PING_AFTER_IDLE_MS = 80
+/** Many times the round trip between availability zones, with a margin for a busy box. Together with `PING_AFTER_IDLE_MS` well under a heartbeat's timeout. */
+const PONG_TIMEOUT_MS = 120
+/** Once a peer answers on one connection, pending data on its other connections arrives within this time. */
+const RECOVERY_GRACE_MS = 50
+/** A peer decompresses and reads at least this many bytes of uncompressed message per millisecond, even with a third of a core. */
+const MIN_PEER_READ_BYTES_PER_MS = 10_000
 /**
- * A compressed message may wait for a thread that decompresses it, while the peer answers on other connections:
- * on a machine with twice as many busy processes as cores one of 360 KB took over 250 ms in one of seven runs.
+ * A compressed message may wait for a decompression thread while the peer answers on other connections.
+ * With twice as many busy processes as cores, a message of 360 KB took over 250 ms in one of seven runs.
  */
-const PEER_UNPACKS_MS = 1000
-/** Whether the peer answers on a new connection is known by then; an opening packet that was lost is sent again only after a second. */
+const MAX_PEER_DECOMPRESSION_MS = 1000
+/** Bounds the check whether the peer answers on a new connection. A lost SYN is retransmitted only after a second. */
 const CONNECT_TIMEOUT_MS = 400
 
-/** What is thrown at the exchanges of a connection that ends. */
-interface EndReason {
+/** The error with which pending exchanges fail when the connection closes. */
+interface CloseReason {
   text: string
   silent?: boolean
 }
 
-/** What became of a connection that was opened beside one on which nothing comes. */
-enum Beside {
-  Answers,
-  Refuses,
-  Silent,
+/** The result of opening a replacement for a connection on which nothing is received. */
+enum ConnectOutcome {
+  Connected,
+  Refused,
+  Failed,
 }
 
 interface Exchange {
   answers: AsyncQueue<PeerMessage>
-  endIfSilent: boolean
+  failIfUnresponsive: boolean
 }
 
 /**
- * One connection to one peer, with any number of exchanges on it. While one is
- * outstanding and nothing comes, the peer is pinged. If nothing comes then either,
- * another connection is opened: when the peer answers there, this one is dead.
- * A peer that answers nowhere may only be busy, and is waited for.
+ * One connection to one peer, which carries any number of concurrent exchanges. If
+ * nothing is received while an exchange is pending, the peer is pinged. If it does not
+ * answer the ping, a second connection is opened: if the peer accepts that, this
+ * connection is unresponsive and is closed. If the peer does not accept the second one
+ * either, it may just be busy, and exchanges keep waiting until their timeout.
  */
 export class OutgoingConnection {
   readonly #opts: OutgoingConnectionOptions
-  readonly #socket: WebSocket
+  readonly #webSocket: WebSocket
   readonly #opened: Promise<void>
   readonly #exchanges = new Map<number, Exchange>()
   readonly #closed = new AbortController()
   #nextId = 1
-  /** An answer was larger than this side takes, as it came or inflated. */
-  #tooLarge = false
-  #lastUseMs: number
-  #stream?: Socket
-  /** Exchanges under way, those included that wait for the connection to open. */
-  #users = 0
-  #watching = false
-  /** Frames that are not on their way yet. */
+  /** A message above the maximum size was received, as sent or once decompressed. */
+  #receivedTooLarge = false
+  #lastUsedAtMs: number
+  #tcpSocket?: Socket
+  /** Exchanges in progress, including those that wait for the connection to open. */
+  #activeExchanges = 0
+  #monitoring = false
+  /** Frames passed to `ws` that have not been written to the socket yet. */
   #unsentFrames = 0
-  /** When the peer should have read what was sent. */
-  #peerReadsUntilMs = 0
-  #endReason: EndReason
+  /** The time by which the peer should have processed everything sent so far. */
+  #peerProcessingUntilMs = 0
+  #closeReason: CloseReason
 
   constructor (opts: OutgoingConnectionOptions) {
     this.#opts = opts
-    this.#lastUseMs = opts.clock.nowMs()
-    this.#endReason = { text: `the connection to ${opts.address} broke` }
-    this.#socket = new WebSocket(`ws://${opts.address}`, { maxPayload: opts.maxMessageBytes, perMessageDeflate: MESSAGE_COMPRESSION })
+    this.#lastUsedAtMs = opts.clock.nowMs()
+    this.#closeReason = { text: `the connection to ${opts.address} was closed` }
+    this.#webSocket = new WebSocket(`ws://${opts.address}`, { maxPayload: opts.maxMessageBytes, perMessageDeflate: MESSAGE_COMPRESSION })
     opts.traffic.connectionsOpened++
     this.#opened = new Promise((resolve, reject) => {
-      this.#socket.once('open', () => resolve())
+      this.#webSocket.once('open', () => resolve())
       let refused = false
-      this.#socket.on('error', ({ code }: NodeJS.ErrnoException) => { refused ||= code === 'ECONNREFUSED' })
-      this.#socket.once('close', () => reject(new PeerLinkError(`${opts.address} cannot be reached`, { mayHaveArrived: false, refused })))
+      this.#webSocket.on('error', ({ code }: NodeJS.ErrnoException) => { refused ||= code === 'ECONNREFUSED' })
+      this.#webSocket.once('close', () => reject(new PeerLinkError(`${opts.address} cannot be reached`, { mayHaveArrived: false, refused })))
     })
     this.#opened.catch(() => {})
-    this.#socket.once('upgrade', ({ socket }) => {
+    this.#webSocket.once('upgrade', ({ socket }) => {
       opts.traffic.count(socket)
-      this.#stream = socket
+      this.#tcpSocket = socket
     })
-    this.#socket.on('message', (data) => this.#receive(data as Buffer))
-    this.#socket.on('error', ({ code }: NodeJS.ErrnoException) => { this.#tooLarge ||= code === OVERSIZE_ERROR })
-    this.#socket.on('close', (code) => this.#fail(code))
+    this.#webSocket.on('message', (data) => this.#receive(data as Buffer))
+    this.#webSocket.on('error', ({ code }: NodeJS.ErrnoException) => { this.#receivedTooLarge ||= code === TOO_LARGE_ERROR_CODE })
+    this.#webSocket.on('close', (code) => this.#onClose(code))
     this.#closeWhenIdle()
   }
 
-  /** Whether anyone waits for something on it. */
+  /** Whether an exchange is in progress. */
   get busy (): boolean {
-    return this.#users > 0
+    return this.#activeExchanges > 0
   }
 
-  get lastUseMs (): number {
-    return this.#lastUseMs
+  get lastUsedAtMs (): number {
+    return this.#lastUsedAtMs
   }
 
   /** Resolves once the peer has accepted the connection. Throws `PeerLinkError`. */
@@ -121,86 +122,86 @@
   }
 
   close (): void {
-    this.#socket.terminate()
+    this.#webSocket.terminate()
   }
 
-  /** Sends a message and yields what comes back, until its end. */
+  /** Sends a message and yields the answers until the exchange ends. */
   async * exchange (message: PeerMessage, isStream: boolean, opts: PeerCallOptions): AsyncGenerator<PeerMessage> {
-    this.#users++
+    this.#activeExchanges++
     try {
       yield * this.#exchange(message, isStream, opts)
     } finally {
-      this.#users--
+      this.#activeExchanges--
     }
   }
 
   async * #exchange (message: PeerMessage, isStream: boolean, opts: PeerCallOptions): AsyncGenerator<PeerMessage> {
     const { clock, address } = this.#opts
-    const { endIfSilent = false } = opts
-    const openMs = endIfSilent ? Math.min(opts.timeoutMs, CONNECT_TIMEOUT_MS) : opts.timeoutMs
-    // Nearly all exchanges find it open, and need no timer for that.
-    const opened = this.#socket.readyState === WebSocket.OPEN ? undefined : await raceTimeout(clock, this.#opened, openMs)
+    const { endIfSilent: failIfUnresponsive = false } = opts
+    const openTimeoutMs = failIfUnresponsive ? Math.min(opts.timeoutMs, CONNECT_TIMEOUT_MS) : opts.timeoutMs
+    // Most exchanges start on an open connection, so this avoids a timer for them.
+    const opened = this.#webSocket.readyState === WebSocket.OPEN ? undefined : await raceTimeout(clock, this.#opened, openTimeoutMs)
     if (opened === TimedOut) {
-      // The peer may be cut off; a later exchange starts with a new connection.
+      // The peer may be unreachable; the next exchange opens a new connection.
       this.close()
       throw new PeerLinkError(`${address} did not accept a connection in time`, { mayHaveArrived: false })
     }
     const id = this.#nextId++
     const answers = new AsyncQueue<PeerMessage>()
     const fail = (reason: string) => answers.fail(new PeerLinkError(reason, { mayHaveArrived: true }))
-    const abort = () => fail('the exchange was given up')
-    const over = new AbortController()
-    this.#exchanges.set(id, { answers, endIfSilent })
+    const abort = () => fail('the exchange was cancelled')
+    const finished = new AbortController()
+    this.#exchanges.set(id, { answers, failIfUnresponsive })
     opts.signal?.addEventListener('abort', abort, { once: true })
-    let ended = false
+    let completed = false
     try {
       if (opts.signal?.aborted) abort()
       this.#send(id, isStream ? FrameKind.Stream : FrameKind.Call, message)
-      void this.#watchWhileUsed()
-      void failWhenSilent(clock, answers, { timeoutMs: opts.timeoutMs, over: over.signal, fail: () => fail(`${address} did not answer in time`) })
+      void this.#monitorWhileActive()
+      void failOnTimeout(clock, answers, { timeoutMs: opts.timeoutMs, finished: finished.signal, fail: () => fail(`${address} did not answer in time`) })
       yield * answers
-      ended = true
+      completed = true
     } finally {
-      over.abort(STOPPED)
+      finished.abort(STOPPED)
       opts.signal?.removeEventListener('abort', abort)
       this.#exchanges.delete(id)
-      if (!ended && isStream) this.#send(id, FrameKind.Abort)
+      if (!completed && isStream) this.#send(id, FrameKind.Abort)
     }
   }
 
   #send (id: number, kind: FrameKind, message?: PeerMessage): void {
-    if (this.#socket.readyState !== WebSocket.OPEN) {
+    if (this.#webSocket.readyState !== WebSocket.OPEN) {
       if (message) throw new PeerLinkError(`the connection to ${this.#opts.address} is closed`, { mayHaveArrived: false })
       return
     }
-    this.#lastUseMs = this.#opts.clock.nowMs()
+    this.#lastUsedAtMs = this.#opts.clock.nowMs()
     const frame = encodeFrame(id, kind, message)
     this.#unsentFrames++
-    // A frame that cannot be sent any more ends with its connection, which tells whoever waits.
-    this.#socket.send(frame, () => this.#noteSent(frame.byteLength))
+    // If a frame cannot be sent, the connection closes, and its exchanges fail then.
+    this.#webSocket.send(frame, () => this.#recordSent(frame.byteLength))
   }
 
-  #noteSent (bytes: number): void {
+  #recordSent (bytes: number): void {
     this.#unsentFrames--
-    const readMs = bytes / PEER_READS_BYTES_PER_MS + (bytes >= COMPRESS_FROM_BYTES ? PEER_UNPACKS_MS : 0)
-    this.#peerReadsUntilMs = Math.max(this.#peerReadsUntilMs, this.#opts.clock.nowMs() + readMs)
+    const processingMs = bytes / MIN_PEER_READ_BYTES_PER_MS + (bytes >= COMPRESSION_THRESHOLD_BYTES ? MAX_PEER_DECOMPRESSION_MS : 0)
+    this.#peerProcessingUntilMs = Math.max(this.#peerProcessingUntilMs, this.#opts.clock.nowMs() + processingMs)
   }
 
-  /** Whether the peer may be at work on what was sent, so that nothing is to be expected of it yet. */
-  get #mayBeReading (): boolean {
-    return this.#isCompressing || this.#opts.clock.nowMs() < this.#peerReadsUntilMs
+  /** Whether the peer may still be processing what was sent, so that no answer is expected yet. */
+  get #peerMayBeProcessing (): boolean {
+    return this.#isCompressing || this.#opts.clock.nowMs() < this.#peerProcessingUntilMs
   }
 
   /**
-   * Whether a frame is being compressed, beside the event loop, before it goes: the peer cannot answer
-   * it yet. What waits to be written has been compressed, and may wait on a connection that is silent.
+   * Whether a frame is being compressed outside the event loop, so that the peer cannot have received it.
+   * Frames in the socket's write buffer are already compressed, and may wait there because the connection is unresponsive.
    */
   get #isCompressing (): boolean {
-    return this.#unsentFrames > 0 && this.#stream?.writableLength === 0
+    return this.#unsentFrames > 0 && this.#tcpSocket?.writableLength === 0
   }
 
   #receive (bytes: Buffer): void {
-    this.#lastUseMs = this.#opts.clock.nowMs()
+    this.#lastUsedAtMs = this.#opts.clock.nowMs()
     try {
       const { id, kind, message } = decodeFrame(bytes)
       const answers = this.#exchanges.get(id)?.answers
@@ -211,101 +212,102 @@
     }
   }
 
-  #fail (closeCode: number): void {
+  #onClose (closeCode: number): void {
     this.#closed.abort()
-    const { silent } = this.#endReason
-    const reason = this.#whyClosed(closeCode)
+    const { silent } = this.#closeReason
+    const reason = this.#closeErrorMessage(closeCode)
     this.#exchanges.forEach(({ answers }) => answers.fail(new PeerLinkError(reason, { mayHaveArrived: true, silent })))
     this.#opts.onClosed()
   }
 
-  #whyClosed (closeCode: number): string {
+  #closeErrorMessage (closeCode: number): string {
     const { address, maxMessageBytes } = this.#opts
-    if (this.#tooLarge) return `a message from ${address} is larger than ${maxMessageBytes} bytes`
-    if (closeCode === MESSAGE_TOO_BIG) return `a message to ${address} is larger than the peer takes`
-    return this.#endReason.text
+    if (this.#receivedTooLarge) return `a message from ${address} is larger than ${maxMessageBytes} bytes`
+    if (closeCode === MESSAGE_TOO_BIG) return `a message to ${address} is larger than the peer accepts`
+    return this.#closeReason.text
   }
 
-  /** One task while something is outstanding. */
-  async #watchWhileUsed (): Promise<void> {
-    if (this.#watching) return
-    this.#watching = true
+  /** Monitors the connection while exchanges are pending. Does nothing if it is being monitored already. */
+  async #monitorWhileActive (): Promise<void> {
+    if (this.#monitoring) return
+    this.#monitoring = true
     while (this.#exchanges.size > 0 && !this.#closed.signal.aborted) {
-      if (await this.#staysQuiet(QUIET_MS)) await this.#examine()
+      if (await this.#isIdleFor(PING_AFTER_IDLE_MS)) await this.#probe()
     }
-    this.#watching = false
+    this.#monitoring = false
   }
 
-  /** Whether nothing comes for a while. */
-  async #staysQuiet (forMs: number): Promise<boolean> {
+  /** Whether nothing is received for this long while exchanges are pending and the peer should be able to answer. */
+  async #isIdleFor (durationMs: number): Promise<boolean> {
     const { clock } = this.#opts
-    const seen = this.#stream?.bytesRead
-    await clock.sleep(forMs, { signal: this.#closed.signal })
+    const bytesReadBefore = this.#tcpSocket?.bytesRead
+    await clock.sleep(durationMs, { signal: this.#closed.signal })
     if (this.#exchanges.size === 0) return false
-    // After a pause of this process, what came in time may still be waiting to be read.
+    // After a pause of this process, data that arrived in time may not have been read yet.
     await clock.settle()
-    return this.#stream?.bytesRead === seen && !this.#closed.signal.aborted && !this.#mayBeReading
+    return this.#tcpSocket?.bytesRead === bytesReadBefore && !this.#closed.signal.aborted && !this.#peerMayBeProcessing
   }
 
-  /** Finds out why nothing comes. */
-  async #examine (): Promise<void> {
-    const { clock, address, openAnother, onSilent } = this.#opts
-    const sinceMs = clock.nowMs() - QUIET_MS
-    const seen = this.#stream?.bytesRead
-    this.#socket.ping()
-    if (!await this.#staysQuiet(PONG_MS)) return
-    const other = openAnother()
-    const outcome = await raceTimeout(clock, besideOf(other), CONNECT_TIMEOUT_MS)
-    // A peer that was busy for some time answers on both when it is done, in any order.
-    if (outcome === Beside.Answers) await this.#staysQuiet(BOTH_MS)
+  /** Checks by a ping, and then by a second connection, whether the peer or only this connection is unresponsive. */
+  async #probe (): Promise<void> {
+    const { clock, address, openReplacement, onUnresponsive } = this.#opts
+    const idleSinceMs = clock.nowMs() - PING_AFTER_IDLE_MS
+    const bytesReadBefore = this.#tcpSocket?.bytesRead
+    this.#webSocket.ping()
+    if (!await this.#isIdleFor(PONG_TIMEOUT_MS)) return
+    const replacement = openReplacement()
+    const outcome = await raceTimeout(clock, connectOutcomeOf(replacement), CONNECT_TIMEOUT_MS)
+    // A peer that was only busy answers on both connections once it continues, in any order.
+    if (outcome === ConnectOutcome.Connected) await this.#isIdleFor(RECOVERY_GRACE_MS)
     await clock.settle()
-    const cameBack = this.#stream?.bytesRead !== seen || this.#closed.signal.aborted || this.#mayBeReading
-    if (cameBack || outcome !== Beside.Answers) other.close()
-    if (cameBack) return
-    if (outcome === Beside.Answers) {
-      this.#endReason = { text: `the connection to ${address} went silent`, silent: true }
-      onSilent(other, sinceMs)
+    const recovered = this.#tcpSocket?.bytesRead !== bytesReadBefore || this.#closed.signal.aborted || this.#peerMayBeProcessing
+    if (recovered || outcome !== ConnectOutcome.Connected) replacement.close()
+    if (recovered) return
+    if (outcome === ConnectOutcome.Connected) {
+      this.#closeReason = { text: `the connection to ${address} became unresponsive`, silent: true }
+      onUnresponsive(replacement, idleSinceMs)
     }
-    // Whoever had this connection is gone, or lives on another one.
-    if (outcome === Beside.Answers || outcome === Beside.Refuses) this.close()
-    else this.#endIfSilent()
+    // The process at the other end has exited, or can be reached on the replacement.
+    if (outcome === ConnectOutcome.Connected || outcome === ConnectOutcome.Refused) this.close()
+    else this.#onPeerUnresponsive()
   }
 
-  #endIfSilent (): void {
-    const error = () => new PeerLinkError(`${this.#opts.address} gives no sign of life`, { mayHaveArrived: true });
-    [...this.#exchanges.values()].filter(({ endIfSilent }) => endIfSilent).forEach(({ answers }) => answers.fail(error()))
+  /** Fails the exchanges whose callers do not wait for an unresponsive peer. */
+  #onPeerUnresponsive (): void {
+    const createError = () => new PeerLinkError(`${this.#opts.address} is unresponsive`, { mayHaveArrived: true });
+    [...this.#exchanges.values()].filter(({ failIfUnresponsive }) => failIfUnresponsive).forEach(({ answers }) => answers.fail(createError()))
   }
 
   async #closeWhenIdle (): Promise<void> {
     const { clock, idleCloseMs } = this.#opts
     while (!this.#closed.signal.aborted) {
       await clock.sleep(idleCloseMs, { signal: this.#closed.signal })
-      const idle = this.#exchanges.size === 0 && clock.nowMs() - this.#lastUseMs >= idleCloseMs
-      if (idle) this.#socket.close()
+      const idle = this.#exchanges.size === 0 && clock.nowMs() - this.#lastUsedAtMs >= idleCloseMs
+      if (idle) this.#webSocket.close()
     }
   }
 }
 
-async function besideOf (other: OutgoingConnection): Promise<Beside> {
+async function connectOutcomeOf (replacement: OutgoingConnection): Promise<ConnectOutcome> {
   try {
-    await other.opened()
-    return Beside.Answers
+    await replacement.opened()
+    return ConnectOutcome.Connected
   } catch (thrown) {
-    return thrown instanceof PeerLinkError && thrown.refused ? Beside.Refuses : Beside.Silent
+    return thrown instanceof PeerLinkError && thrown.refused ? ConnectOutcome.Refused : ConnectOutcome.Failed
   }
 }
 
-interface SilenceOptions {
+interface ResponseTimeoutOptions {
   timeoutMs: number
-  over: AbortSignal
+  finished: AbortSignal
   fail: () => void
 }
 
-/** Fails an exchange that nothing came in on for too long. One timer an exchange, however many parts it has. */
-async function failWhenSilent (clock: Clock, answers: AsyncQueue<PeerMessage>, { timeoutMs, over, fail }: SilenceOptions): Promise<void> {
-  for (let seen = -1; !over.aborted && seen !== answers.received;) {
-    seen = answers.received
-    await clock.sleep(timeoutMs, { signal: over })
+/** Fails an exchange that has received nothing for too long. Uses one timer per exchange, no matter how many messages it receives. */
+async function failOnTimeout (clock: Clock, answers: AsyncQueue<PeerMessage>, { timeoutMs, finished, fail }: ResponseTimeoutOptions): Promise<void> {
+  for (let receivedBefore = -1; !finished.aborted && receivedBefore !== answers.received;) {
+    receivedBefore = answers.received
+    await clock.sleep(timeoutMs, { signal: finished })
   }
-  if (!over.aborted) fail()
+  if (!finished.aborted) fail()
 }
--- a/net/peer-link/src/serveConnection.ts
+++ b/net/peer-link/src/serveConnection.ts
@@ -3,8 +3,8 @@
 import { WebSocket } from 'ws'
 import { decodeFrame, encodeFrame, type Frame, FrameKind } from './frame.js'
 
-/** Answers what a peer asks on a connection that it opened. A peer that breaks the protocol is cut off. */
-export function serveConnection (socket: WebSocket, handlerOf: () => PeerHandler | undefined): void {
+/** Serves the calls and streams of a peer on a connection that the peer opened. Terminates the connection on an invalid frame. */
+export function serveConnection (socket: WebSocket, currentHandler: () => PeerHandler | undefined): void {
   const streams = new Map<number, AbortController>()
   const send = (id: number, kind: FrameKind, message?: PeerMessage) => {
     if (socket.readyState !== WebSocket.OPEN) return
@@ -15,7 +15,7 @@
   socket.on('close', () => streams.forEach((stop) => stop.abort()))
   socket.on('message', (data) => {
     const frame = readFrame(data as Buffer)
-    const handler = handlerOf()
+    const handler = currentHandler()
     if (!frame || !handler) return socket.terminate()
     void serveFrame(frame, handler)
   })
@@ -29,7 +29,7 @@
     } catch (thrown) {
       send(id, FrameKind.Answer, failureOf(thrown))
     }
-    // A call has one answer, and whoever asked waits for nothing behind it.
+    // A call has exactly one answer, so it needs no end frame.
     if (kind === FrameKind.Stream) send(id, FrameKind.End)
   }
 
--- a/net/peer-link/src/wsPeerLink.ts
+++ b/net/peer-link/src/wsPeerLink.ts
@@ -10,32 +10,32 @@
 import { OutgoingConnection } from './outgoingConnection.js'
 import { serveConnection } from './serveConnection.js'
 
-/** A peer that opened a connection here and gives no sign of life for this long, nor to a ping, is taken for cut off. It opens another one when it needs it. */
-const SERVED_PING_MS = 5000
+/** An incoming connection is pinged at this interval and terminated if nothing was received since the last ping. The peer opens another one when it needs to. */
+const INCOMING_PING_INTERVAL_MS = 5000
 
 export interface WsPeerLinkOptions {
   clock: Clock
   /** `ip:port` to listen on. */
   listenAddress: string
   maxMessageBytes: number
-  /** An outgoing connection that nothing used for this long is closed. */
+  /** An outgoing connection is closed after it has been idle for this long. */
   idleCloseMs: number
-  /** Half of them for each direction. */
+  /** The maximum number of connections, half of them for each direction. */
   maxConnections?: number
-  /** A connection of this box on which nothing came since then was dead, while a new one to the same peer works. */
+  /** An outgoing connection received nothing since `sinceMs`, while a new one to the same peer works. */
   onSilentConnection?: (address: string, sinceMs: number) => void
 }
 
-/** Carries messages between boxes over WebSocket connections, one for each peer that is talked to, opened on demand. */
+/** Carries messages between boxes over WebSocket connections, which are opened on demand, one to each peer. */
 export class WsPeerLink extends PeerLink {
   readonly traffic = new LinkTraffic()
   readonly #opts: WsPeerLinkOptions
-  /** The connection to use, for each peer. */
-  readonly #connections = new Map<string, OutgoingConnection>()
-  readonly #open = new Set<OutgoingConnection>()
-  /** Connections that peers opened, the one that was heard of last at the end. */
-  readonly #served = new Set<WebSocket>()
-  readonly #maxEachWay: number
+  /** The connection in use to each peer. */
+  readonly #outgoingByAddress = new Map<string, OutgoingConnection>()
+  readonly #outgoing = new Set<OutgoingConnection>()
+  /** Connections that peers opened, ordered by the time of the last received message, oldest first. */
+  readonly #incoming = new Set<WebSocket>()
+  readonly #maxPerDirection: number
   readonly #closed = new AbortController()
   #listener?: Server
   #server?: WebSocketServer
@@ -44,11 +44,11 @@
   constructor (opts: WsPeerLinkOptions) {
     super()
     this.#opts = opts
-    this.#maxEachWay = Math.max(1, Math.floor((opts.maxConnections ?? Number.POSITIVE_INFINITY) / 2))
+    this.#maxPerDirection = Math.max(1, Math.floor((opts.maxConnections ?? Number.POSITIVE_INFINITY) / 2))
   }
 
   get openConnections (): number {
-    return this.#open.size
+    return this.#outgoing.size
   }
 
   /** Resolves once the link listens. */
@@ -57,11 +57,11 @@
     this.#listener = listener
     this.#server = new WebSocketServer({ server: listener, maxPayload: this.#opts.maxMessageBytes, perMessageDeflate: MESSAGE_COMPRESSION })
     const server = this.#server
-    server.on('connection', (socket, { socket: stream }) => {
-      this.#admit(socket)
-      this.traffic.count(stream)
+    server.on('connection', (socket, { socket: tcpSocket }) => {
+      this.#acceptIncoming(socket)
+      this.traffic.count(tcpSocket)
       serveConnection(socket, () => this.#handler)
-      void this.#endWhenSilent(socket, stream)
+      void this.#terminateWhenUnresponsive(socket, tcpSocket)
     })
     server.on('error', () => {})
     await listenAt(listener, this.#opts.listenAddress)
@@ -84,68 +84,68 @@
     const answers = this.#connection(address).exchange(message, false, opts)
     try {
       const answer = await answers.next()
-      if (answer.done) throw new PeerLinkError(`${address} gave no answer`, { mayHaveArrived: true })
-      return orThrow(answer.value)
+      if (answer.done) throw new PeerLinkError(`${address} ended the call without an answer`, { mayHaveArrived: true })
+      return answerOrThrow(answer.value)
     } finally {
       await answers.return(undefined)
     }
   }
 
   async * stream (address: string, message: PeerMessage, opts: PeerCallOptions): AsyncIterable<PeerMessage> {
-    for await (const answer of this.#connection(address).exchange(message, true, opts)) yield orThrow(answer)
+    for await (const answer of this.#connection(address).exchange(message, true, opts)) yield answerOrThrow(answer)
   }
 
   async close (): Promise<void> {
     this.#closed.abort()
-    this.#open.forEach((connection) => connection.close())
+    this.#outgoing.forEach((connection) => connection.close())
     this.#server?.clients.forEach((socket) => socket.terminate())
     const listener = this.#listener
     if (!listener) return
     const closed = new Promise<void>((resolve) => listener.close(() => resolve()))
-    // A peer may have connected and said nothing yet. Waiting for it would hold up a planned stop until the box is killed.
+    // A peer may have connected without sending anything yet. Waiting for it would delay a planned stop until the box is killed.
     listener.closeAllConnections()
     await closed
   }
 
-  /** At the limit, the peer that was not heard of for longest gives way. It connects again when it needs to. */
-  #admit (socket: WebSocket): void {
-    if (this.#served.size >= this.#maxEachWay) [...this.#served][0].terminate()
-    this.#served.add(socket)
-    socket.on('close', () => this.#served.delete(socket))
+  /** At the limit, terminates the connection with the oldest last message. That peer connects again when it needs to. */
+  #acceptIncoming (socket: WebSocket): void {
+    if (this.#incoming.size >= this.#maxPerDirection) [...this.#incoming][0].terminate()
+    this.#incoming.add(socket)
+    socket.on('close', () => this.#incoming.delete(socket))
     socket.on('message', () => {
-      if (this.#served.delete(socket)) this.#served.add(socket)
+      if (this.#incoming.delete(socket)) this.#incoming.add(socket)
     })
   }
 
-  /** At the limit, the connection that was not used for longest gives way. */
-  #makeRoom (): void {
-    if (this.#open.size < this.#maxEachWay) return
-    const idle = [...this.#open].filter(({ busy }) => !busy)
-    if (idle.length === 0) throw new PeerLinkError(`all ${this.#maxEachWay} connections to other boxes are in use`, { mayHaveArrived: false })
-    idle.reduce((oldest, one) => one.lastUseMs < oldest.lastUseMs ? one : oldest).close()
+  /** At the limit, closes the least recently used idle connection. Throws `PeerLinkError` if none is idle. */
+  #evictIdleIfFull (): void {
+    if (this.#outgoing.size < this.#maxPerDirection) return
+    const idle = [...this.#outgoing].filter(({ busy }) => !busy)
+    if (idle.length === 0) throw new PeerLinkError(`all ${this.#maxPerDirection} connections to other boxes are in use`, { mayHaveArrived: false })
+    idle.reduce((oldest, one) => one.lastUsedAtMs < oldest.lastUsedAtMs ? one : oldest).close()
   }
 
-  /** A peer that is cut off does not close its connections; what is streamed to it goes on until it is noticed. */
-  async #endWhenSilent (socket: WebSocket, stream: Socket): Promise<void> {
+  /** An unreachable peer does not close its connections, so streams to it would continue until this detects it. */
+  async #terminateWhenUnresponsive (socket: WebSocket, tcpSocket: Socket): Promise<void> {
     const { clock } = this.#opts
-    const gone = new AbortController()
-    socket.once('close', () => gone.abort(STOPPED))
-    for (let seen = -1; seen !== stream.bytesRead && !gone.signal.aborted;) {
-      seen = stream.bytesRead
+    const closed = new AbortController()
+    socket.once('close', () => closed.abort(STOPPED))
+    for (let bytesReadBefore = -1; bytesReadBefore !== tcpSocket.bytesRead && !closed.signal.aborted;) {
+      bytesReadBefore = tcpSocket.bytesRead
       socket.ping()
-      await clock.sleep(SERVED_PING_MS, { signal: gone.signal })
+      await clock.sleep(INCOMING_PING_INTERVAL_MS, { signal: closed.signal })
       await clock.settle()
     }
     socket.terminate()
   }
 
   #connection (address: string): OutgoingConnection {
-    const known = this.#connections.get(address)
+    const known = this.#outgoingByAddress.get(address)
     if (known) return known
     if (this.#closed.signal.aborted) throw new PeerLinkError('the link is closed', { mayHaveArrived: false })
-    this.#makeRoom()
+    this.#evictIdleIfFull()
     const connection = this.#connect(address)
-    this.#connections.set(address, connection)
+    this.#outgoingByAddress.set(address, connection)
     return connection
   }
 
@@ -158,21 +158,21 @@
       idleCloseMs,
       traffic: this.traffic,
       onClosed: () => {
-        this.#open.delete(connection)
-        if (this.#connections.get(address) === connection) this.#connections.delete(address)
+        this.#outgoing.delete(connection)
+        if (this.#outgoingByAddress.get(address) === connection) this.#outgoingByAddress.delete(address)
       },
-      openAnother: () => this.#connect(address),
-      onSilent: (other, sinceMs) => {
-        this.#connections.set(address, other)
-        onSilentConnection?.(address, sinceMs)
+      openReplacement: () => this.#connect(address),
+      onUnresponsive: (replacement, idleSinceMs) => {
+        this.#outgoingByAddress.set(address, replacement)
+        onSilentConnection?.(address, idleSinceMs)
       },
     })
-    this.#open.add(connection)
+    this.#outgoing.add(connection)
     return connection
   }
 }
 
-function orThrow (answer: PeerMessage): PeerMessage {
+function answerOrThrow (answer: PeerMessage): PeerMessage {
   if (answer.type !== MessageType.Failed) return answer
   throw new ReelspanError(answer.code, answer.text, { verdict: answer.verdict, retryAfterMs: answer.retryAfterMs })
 }
--- a/net/peer-link/test/silentConnections.ts
+++ b/net/peer-link/test/silentConnections.ts
@@ -8,12 +8,12 @@
 
 const DONE: PeerMessage = { type: MessageType.Done }
 const QUESTION: PeerMessage = { type: MessageType.Cancel, key: 'k' }
-/** Far beyond the bound that is tested. */
+/** Much longer than the tested bound. */
 const LONG = { timeoutMs: 60_000 }
-/** News is to be everywhere within two seconds; the link's own bound is 0.25 s, and the machine may be busy. */
-const WELL_WITHIN_MS = 2000
+/** Updates must reach all boxes within two seconds. The link's own bound is 0.25 s; the rest is margin for a busy machine. */
+const MAX_DETECTION_MS = 2000
 
-/** A peer behind a proxy, and a link that has an established connection to it. */
+/** Starts a peer behind a proxy, and a link with an established connection to it. */
 async function connectThrough (t: ExecutionContext, handler: Partial<PeerHandler> = {}, clock = new SystemClock()) {
   const arrived: PeerMessage[] = []
   const onCall = async (message: PeerMessage) => {
@@ -37,8 +37,8 @@
   return { link, proxy, peer: peer.link, arrived }
 }
 
-/** Waits a hundredth of what it is told to. */
-class HastyClock extends SystemClock {
+/** Sleeps for a hundredth of the requested time. */
+class FastClock extends SystemClock {
   override sleep (durationMs: number, opts?: SleepOptions): Promise<void> {
     return super.sleep(durationMs / 100, opts)
   }
@@ -48,43 +48,43 @@
   return performance.now() - startMs
 }
 
-for (const way of Object.values(Silence)) {
-  test(`a call on a connection that went silent (${way}) fails soon, and the next one is answered`, async (t) => {
+for (const direction of Object.values(Silence)) {
+  test(`a call on an unresponsive connection (${direction}) fails quickly, and the next call is answered`, async (t) => {
     const { link, proxy, arrived } = await connectThrough(t)
-    proxy.silenceOpen(way)
+    proxy.silenceOpen(direction)
     const startMs = performance.now()
     const error = await t.throwsAsync(link.call(proxy.address, QUESTION, LONG), { instanceOf: PeerLinkError })
     t.true((error as PeerLinkError).mayHaveArrived)
     t.deepEqual(await link.call(proxy.address, DONE, LONG), DONE)
-    t.true(elapsedSince(startMs) < WELL_WITHIN_MS)
-    // Nothing was sent twice.
-    t.is(arrived.filter(({ type }) => type === MessageType.Cancel).length, way === Silence.ToClient ? 1 : 0)
+    t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
+    // No request was sent twice.
+    t.is(arrived.filter(({ type }) => type === MessageType.Cancel).length, direction === Silence.ToClient ? 1 : 0)
   })
 
-  test(`a stream on a connection that went silent (${way}) breaks off soon`, async (t) => {
+  test(`a stream on an unresponsive connection (${direction}) fails quickly`, async (t) => {
     const { link, proxy } = await connectThrough(t, { onStream: async function * () { yield DONE; await new Promise(() => {}) } })
     const parts = link.stream(proxy.address, QUESTION, LONG)[Symbol.asyncIterator]()
     await parts.next()
-    proxy.silenceOpen(way)
+    proxy.silenceOpen(direction)
     const startMs = performance.now()
     const error = await t.throwsAsync(Promise.resolve(parts.next()), { instanceOf: PeerLinkError })
     t.true((error as PeerLinkError).mayHaveArrived)
-    t.true(elapsedSince(startMs) < WELL_WITHIN_MS)
+    t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
   })
 }
 
-test('a call that waits long for its answer is not cut off while the peer lives', async (t) => {
+test('a call with a slow answer does not fail while the peer answers pings', async (t) => {
   let answer: (message: PeerMessage) => void = () => {}
   const { link, proxy } = await connectThrough(t, { onCall: async ({ type }) => type === MessageType.Cancel ? new Promise((resolve) => { answer = resolve }) : DONE })
   const waiting = link.call(proxy.address, QUESTION, LONG)
-  // Meanwhile some signs of life are asked for.
+  // The connection is pinged several times meanwhile.
   await new SystemClock().sleep(600)
   answer(DONE)
   t.deepEqual(await waiting, DONE)
   t.is(link.traffic.connectionsOpened, 1)
 })
 
-test('a peer that says nothing for a while, on new connections either, is waited for', async (t) => {
+test('a call waits for a peer that is unresponsive on new connections as well', async (t) => {
   const { link, proxy } = await connectThrough(t)
   proxy.fault = PathFault.Silent
   const waiting = link.call(proxy.address, QUESTION, LONG)
@@ -93,57 +93,57 @@
   t.deepEqual(await waiting, DONE)
 })
 
-test('a repeatable call is sent once more on a new connection', async (t) => {
+test('a repeatable call on an unresponsive connection is sent again on a new one', async (t) => {
   const { link, proxy, arrived } = await connectThrough(t)
   proxy.silenceOpen(Silence.ToClient)
   const startMs = performance.now()
   t.deepEqual(await link.call(proxy.address, QUESTION, { ...LONG, repeatable: true }), DONE)
-  t.true(elapsedSince(startMs) < WELL_WITHIN_MS)
+  t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
   t.is(arrived.filter(({ type }) => type === MessageType.Cancel).length, 2)
 })
 
-test('a call that need not wait for a peer without any sign of life ends soon', async (t) => {
+test('a call with `failIfUnresponsive` fails quickly if the peer is unresponsive on new connections as well', async (t) => {
   const { link, proxy } = await connectThrough(t)
   proxy.fault = PathFault.Silent
   const startMs = performance.now()
-  const onOld = await t.throwsAsync(link.call(proxy.address, QUESTION, { ...LONG, endIfSilent: true }), { instanceOf: PeerLinkError })
-  t.true((onOld as PeerLinkError).mayHaveArrived)
-  t.false((onOld as PeerLinkError).silent)
-  t.true(elapsedSince(startMs) < WELL_WITHIN_MS)
+  const error = await t.throwsAsync(link.call(proxy.address, QUESTION, { ...LONG, endIfSilent: true }), { instanceOf: PeerLinkError })
+  t.true((error as PeerLinkError).mayHaveArrived)
+  t.false((error as PeerLinkError).silent)
+  t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
 })
 
-test('the box is told that a connection of its went silent, and when it was last heard of', async (t) => {
+test('an unresponsive connection is reported with the time since which it received nothing', async (t) => {
   const peer = await connectThrough(t)
-  const told: { address: string, sinceMs: number }[] = []
+  const reported: { address: string, sinceMs: number }[] = []
   const link = new WsPeerLink({
     clock: new SystemClock(),
     listenAddress: await freeAddress(),
     maxMessageBytes: 10_000,
     idleCloseMs: 60_000,
-    onSilentConnection: (address, sinceMs) => told.push({ address, sinceMs }),
+    onSilentConnection: (address, sinceMs) => reported.push({ address, sinceMs }),
   })
   t.teardown(() => link.close())
   await link.call(peer.proxy.address, DONE, LONG)
   const startMs = performance.now()
   peer.proxy.silenceOpen(Silence.BothWays)
   await t.throwsAsync(link.call(peer.proxy.address, QUESTION, LONG))
-  t.like(told, [{ address: peer.proxy.address }])
-  t.true(told[0].sinceMs >= startMs && told[0].sinceMs < performance.now())
+  t.like(reported, [{ address: peer.proxy.address }])
+  t.true(reported[0].sinceMs >= startMs && reported[0].sinceMs < performance.now())
 })
 
-test('a peer that went silent while it was streamed to is noticed', async (t) => {
-  let stopped: () => void = () => {}
-  const noticed = new Promise<void>((resolve) => { stopped = resolve })
+test('a stream to a peer that becomes unresponsive is aborted', async (t) => {
+  let onStopped: () => void = () => {}
+  const stopDetected = new Promise<void>((resolve) => { onStopped = resolve })
   const { link, proxy } = await connectThrough(t, {
     onStream: async function * (_, signal) {
-      signal.addEventListener('abort', stopped)
+      signal.addEventListener('abort', onStopped)
       yield DONE
-      await noticed
+      await stopDetected
     },
-  }, new HastyClock())
+  }, new FastClock())
   const parts = link.stream(proxy.address, QUESTION, { timeoutMs: 6_000_000 })[Symbol.asyncIterator]()
   await parts.next()
   proxy.silenceOpen(Silence.BothWays)
-  await t.notThrowsAsync(noticed)
+  await t.notThrowsAsync(stopDetected)
   await parts.return?.()
 })
--- a/net/peer-link/test/wsPeerLink.ts
+++ b/net/peer-link/test/wsPeerLink.ts
@@ -16,9 +16,9 @@
 const CALL = { timeoutMs: 2000 }
 
 const MAX_MESSAGE_BYTES = 10_000
-/** A configuration of 1,600 routes fits. */
-const WIDE = { maxMessageBytes: 1_000_000 }
-const VAST = { maxMessageBytes: 100_000_000 }
+/** Large enough for a configuration of 1,600 routes. */
+const LARGE_MESSAGES = { maxMessageBytes: 1_000_000 }
+const HUGE_MESSAGES = { maxMessageBytes: 100_000_000 }
 
 async function createLink (t: ExecutionContext, handler?: Partial<PeerHandler>, { maxMessageBytes = MAX_MESSAGE_BYTES } = {}) {
   const address = await freeAddress()
@@ -35,7 +35,7 @@
   t.deepEqual(await link.call(address, QUESTION, CALL), DONE)
 })
 
-test('an error travels with its code and verdict', async (t) => {
+test('an error of the peer keeps its code and message', async (t) => {
   const { address } = await createLink(t, {
     onCall: async () => { throw new ReelspanError(ErrorCode.OwnerGone, 'gone', { verdict: Verdict.MayHaveRun }) },
   })
@@ -43,7 +43,7 @@
   await t.throwsAsync(link.call(address, QUESTION, CALL), { code: ErrorCode.OwnerGone, message: 'gone' })
 })
 
-test('a stream comes in order and ends', async (t) => {
+test('a stream arrives in order and ends', async (t) => {
   const { address } = await createLink(t, {
     onStream: async function * () {
       yield QUESTION
@@ -56,7 +56,7 @@
   t.deepEqual(parts, [MessageType.Cancel, MessageType.Done])
 })
 
-test('a reader that stops tells the other side', async (t) => {
+test('a stream is aborted at the sender when its reader stops', async (t) => {
   const stopped = withResolvers()
   const { address } = await createLink(t, {
     onStream: async function * (_, signal) {
@@ -72,21 +72,21 @@
   await t.notThrowsAsync(stopped.promise)
 })
 
-test('a peer that is not there is known not to have got the message', async (t) => {
+test('a call to an address where nothing listens fails and has not run', async (t) => {
   const { link } = await createLink(t)
   await t.throwsAsync(link.call(await freeAddress(), QUESTION, CALL), { code: ErrorCode.PeerUnreachable, message: /cannot be reached/ })
   const error = await link.call(await freeAddress(), QUESTION, CALL).catch((thrown: ReelspanError) => thrown)
   t.like(error, { mayHaveArrived: false, verdict: Verdict.NotRun })
 })
 
-test('a peer that dies after it got the message may have acted on it', async (t) => {
+test('a call whose peer closes after it received the message may have run', async (t) => {
   const other = await createLink(t, { onCall: async () => { await other.link.close(); return DONE } })
   const { link } = await createLink(t)
   const error = await link.call(other.address, QUESTION, CALL).catch((thrown: ReelspanError) => thrown)
   t.like(error, { mayHaveArrived: true, verdict: Verdict.MayHaveRun })
 })
 
-test('a peer that stays silent is given up, and may have acted', async (t) => {
+test('a call that is not answered in time fails, and the message may have arrived', async (t) => {
   let calls = 0
   const { address } = await createLink(t, { onCall: async () => calls++ === 0 ? DONE : new Promise(() => {}) })
   const { link } = await createLink(t)
@@ -95,7 +95,7 @@
   t.like(error, { mayHaveArrived: true })
 })
 
-/** Sends raw bytes to a link and tells whether it was cut off or answered. */
+/** Sends raw bytes to a link and returns whether the link closed the connection or answered. */
 async function sendRaw (address: string, bytes: Buffer): Promise<'closed' | 'answered'> {
   const socket = new WebSocket(`ws://${address}`)
   await new Promise((resolve) => socket.once('open', resolve))
@@ -108,7 +108,7 @@
   return outcome
 }
 
-test('whoever sends what is not a message is cut off', async (t) => {
+test('a connection is closed after an invalid message', async (t) => {
   const { address } = await createLink(t)
   const packr = new Packr()
   t.is(await sendRaw(address, Buffer.from('nonsense')), 'closed')
@@ -118,16 +118,16 @@
   t.is(await sendRaw(address, packr.pack([1, 1, 0, { ...QUESTION, key: 'k'.repeat(20_000) }])), 'closed')
 })
 
-test('a message of a newer release, with fields that this one does not know, is understood', async (t) => {
+test('a message of a newer release with unknown fields is accepted', async (t) => {
   const { address } = await createLink(t)
   t.is(await sendRaw(address, new Packr().pack([2, 1, 0, { ...QUESTION, addedLater: true }])), 'answered')
 })
 
-/** How long they take is not looked at here: a first message of this size comes to code that is not compiled yet. */
+/** The time is not tested here: the first message of this size runs code that is not compiled yet. */
 const LARGE_CALL = { timeoutMs: 60_000 }
 
-/** Resources that have as much in common as those of a deployment have. */
-function contentOf (routes: number): MessageOf<MessageType.ConfigContent> {
+/** Resources that compress about as well as those of a real deployment. */
+function createContent (routes: number): MessageOf<MessageType.ConfigContent> {
   const changes = Array.from({ length: routes }, (_, i) => ({
     kind: 'Route',
     name: `route-${(i * 2_654_435_761 % 2 ** 32).toString(16)}`,
@@ -137,54 +137,54 @@
   return { type: MessageType.ConfigContent, revision: 7, full: true, changes }
 }
 
-test('a configuration of 1,600 routes takes a fraction of its size on the wire', async (t) => {
-  const content = contentOf(1600)
-  const { address } = await createLink(t, { onCall: async () => content }, WIDE)
-  const { link } = await createLink(t, undefined, WIDE)
+test('an answer with a configuration of 1,600 routes is sent compressed', async (t) => {
+  const content = createContent(1600)
+  const { address } = await createLink(t, { onCall: async () => content }, LARGE_MESSAGES)
+  const { link } = await createLink(t, undefined, LARGE_MESSAGES)
   t.true(isDeepStrictEqual(await link.call(address, QUESTION, LARGE_CALL), content))
-  t.true(link.traffic.receivedBytes < 50_000, `${link.traffic.receivedBytes} bytes came`)
+  t.true(link.traffic.receivedBytes < 50_000, `${link.traffic.receivedBytes} bytes received`)
 })
 
-test('a large question is as small on the wire as a large answer', async (t) => {
-  const { address } = await createLink(t, undefined, WIDE)
-  const { link } = await createLink(t, undefined, WIDE)
-  t.deepEqual(await link.call(address, contentOf(1600), LARGE_CALL), DONE)
-  t.true(link.traffic.sentBytes < 50_000, `${link.traffic.sentBytes} bytes went`)
+test('a large request is sent compressed as well', async (t) => {
+  const { address } = await createLink(t, undefined, LARGE_MESSAGES)
+  const { link } = await createLink(t, undefined, LARGE_MESSAGES)
+  t.deepEqual(await link.call(address, createContent(1600), LARGE_CALL), DONE)
+  t.true(link.traffic.sentBytes < 50_000, `${link.traffic.sentBytes} bytes sent`)
 })
 
-test('a question that takes its own side long to compress does not make its connection count as silent', async (t) => {
-  const { address } = await createLink(t, undefined, VAST)
-  const { link } = await createLink(t, undefined, VAST)
-  t.deepEqual(await link.call(address, contentOf(120_000), { timeoutMs: 60_000 }), DONE)
+test('a connection is not considered unresponsive while a large request is being compressed', async (t) => {
+  const { address } = await createLink(t, undefined, HUGE_MESSAGES)
+  const { link } = await createLink(t, undefined, HUGE_MESSAGES)
+  t.deepEqual(await link.call(address, createContent(120_000), { timeoutMs: 60_000 }), DONE)
 })
 
-test('a message of usual size goes as it is', async (t) => {
+test('a message below the threshold is sent uncompressed', async (t) => {
   const { address } = await createLink(t)
   const { link } = await createLink(t)
   await link.call(address, { ...QUESTION, key: 'k'.repeat(5000) }, CALL)
-  t.true(link.traffic.sentBytes > 5000, `${link.traffic.sentBytes} bytes went`)
+  t.true(link.traffic.sentBytes > 5000, `${link.traffic.sentBytes} bytes sent`)
 })
 
-test('a large part of a stream keeps its place among small ones', async (t) => {
-  const parts = [contentOf(1600), DONE, contentOf(800), QUESTION]
-  const { address } = await createLink(t, { onStream: async function * () { yield * parts } }, WIDE)
-  const { link } = await createLink(t, undefined, WIDE)
-  const came = []
-  for await (const part of link.stream(address, QUESTION, LARGE_CALL)) came.push(part)
-  t.true(isDeepStrictEqual(came, parts))
+test('a compressed message of a stream keeps its position among uncompressed ones', async (t) => {
+  const parts = [createContent(1600), DONE, createContent(800), QUESTION]
+  const { address } = await createLink(t, { onStream: async function * () { yield * parts } }, LARGE_MESSAGES)
+  const { link } = await createLink(t, undefined, LARGE_MESSAGES)
+  const received = []
+  for await (const part of link.stream(address, QUESTION, LARGE_CALL)) received.push(part)
+  t.true(isDeepStrictEqual(received, parts))
 })
 
-test('a small message that would become a huge one is refused, and both sides learn why', async (t) => {
+test('a compressed message that exceeds the maximum size once decompressed is refused, and the error on both sides says so', async (t) => {
   const huge = { ...QUESTION, key: 'k'.repeat(500_000) }
   const narrow = await createLink(t)
-  const wide = await createLink(t, { onCall: async () => huge }, WIDE)
-  await t.throwsAsync(wide.link.call(narrow.address, huge, LARGE_CALL), { code: ErrorCode.PeerUnreachable, message: /larger than the peer takes/ })
+  const wide = await createLink(t, { onCall: async () => huge }, LARGE_MESSAGES)
+  await t.throwsAsync(wide.link.call(narrow.address, huge, LARGE_CALL), { code: ErrorCode.PeerUnreachable, message: /larger than the peer accepts/ })
   await t.throwsAsync(narrow.link.call(wide.address, QUESTION, LARGE_CALL), { code: ErrorCode.PeerUnreachable, message: /larger than 10000 bytes/ })
 })
 
-test('a box of a release that does not compress gets and gives large messages', async (t) => {
-  const content = contentOf(1600)
-  const { link, address } = await createLink(t, { onCall: async () => content }, WIDE)
+test('large messages are exchanged with a box of a release without compression', async (t) => {
+  const content = createContent(1600)
+  const { link, address } = await createLink(t, { onCall: async () => content }, LARGE_MESSAGES)
   const packr = new Packr({ useRecords: false })
   const socket = new WebSocket(`ws://${address}`, { perMessageDeflate: false })
   await new Promise((resolve) => socket.once('open', resolve))
@@ -193,33 +193,33 @@
   socket.terminate()
   t.true(isDeepStrictEqual(packr.unpack(answer).at(3), content))
 
-  const old = new WebSocketServer({ host: '127.0.0.1', port: 0, perMessageDeflate: false })
-  t.teardown(() => old.close())
-  await new Promise((resolve) => old.once('listening', resolve))
-  old.on('connection', (one) => one.on('message', (data) => {
+  const uncompressed = new WebSocketServer({ host: '127.0.0.1', port: 0, perMessageDeflate: false })
+  t.teardown(() => uncompressed.close())
+  await new Promise((resolve) => uncompressed.once('listening', resolve))
+  uncompressed.on('connection', (socket) => socket.on('message', (data) => {
     const [, id,, question] = packr.unpack(data as Buffer)
-    one.send(packr.pack([1, id, 2, question]))
-    one.send(packr.pack([1, id, 3]))
+    socket.send(packr.pack([1, id, 2, question]))
+    socket.send(packr.pack([1, id, 3]))
   }))
-  const { port } = old.address() as AddressInfo
+  const { port } = uncompressed.address() as AddressInfo
   t.true(isDeepStrictEqual(await link.call(`127.0.0.1:${port}`, content, LARGE_CALL), content))
 })
 
-/** A link that may have so many connections each way. */
-async function createSmallLink (t: ExecutionContext, eachWay: number, onCall: PeerHandler['onCall'] = async () => DONE) {
+/** Creates a link that may have this many connections in each direction. */
+async function createLimitedLink (t: ExecutionContext, perDirection: number, onCall: PeerHandler['onCall'] = async () => DONE) {
   const address = await freeAddress()
-  const link = new WsPeerLink({ clock: new SystemClock(), listenAddress: address, maxMessageBytes: 10_000, idleCloseMs: 60_000, maxConnections: 2 * eachWay })
+  const link = new WsPeerLink({ clock: new SystemClock(), listenAddress: address, maxMessageBytes: 10_000, idleCloseMs: 60_000, maxConnections: 2 * perDirection })
   link.serve({ onCall, onStream: async function * () {} })
   await link.listen()
   t.teardown(() => link.close())
   return { link, address }
 }
 
-test('at the limit the connection that was not used for longest gives way, and one in use never does', async (t) => {
+test('at the limit the least recently used idle connection is closed, never one in use', async (t) => {
   let finish: (message: PeerMessage) => void = () => {}
   const busy = await createLink(t, { onCall: async () => new Promise((resolve) => { finish = resolve }) })
   const others = await Promise.all([createLink(t), createLink(t), createLink(t)])
-  const { link } = await createSmallLink(t, 2)
+  const { link } = await createLimitedLink(t, 2)
   const waiting = link.call(busy.address, QUESTION, CALL)
   for (const { address } of others) t.deepEqual(await link.call(address, QUESTION, CALL), DONE)
   t.is(link.traffic.connectionsOpened, 4)
@@ -227,10 +227,10 @@
   t.deepEqual(await waiting, DONE)
 })
 
-test('a message that finds all connections in use has not arrived', async (t) => {
+test('a call fails without having been sent if all connections are in use', async (t) => {
   const busy = await createLink(t, { onCall: async () => new Promise(() => {}) })
   const { address } = await createLink(t)
-  const { link } = await createSmallLink(t, 1)
+  const { link } = await createLimitedLink(t, 1)
   const stop = new AbortController()
   const waiting = t.throwsAsync(link.call(busy.address, QUESTION, { ...CALL, signal: stop.signal }))
   const error = await link.call(address, QUESTION, CALL).catch((thrown: ReelspanError) => thrown)
@@ -239,11 +239,11 @@
   await waiting
 })
 
-test('of more peers than it may serve, the one that was not heard of for longest gives way, and can come back', async (t) => {
-  const { address } = await createSmallLink(t, 2)
+test('at the limit of incoming connections the one with the oldest last message is closed, and its peer can reconnect', async (t) => {
+  const { address } = await createLimitedLink(t, 2)
   const peers = await Promise.all([createLink(t), createLink(t), createLink(t)])
   for (const { link } of [...peers, ...peers]) {
-    // A connection that is just being ended may take the message along.
+    // The message is lost if it was sent on a connection that is just being closed.
     const answer = await link.call(address, QUESTION, CALL).catch(() => link.call(address, QUESTION, CALL))
     t.deepEqual(answer, DONE)
   }
@@ -255,11 +255,11 @@
   return { promise, resolve }
 }
 
-test('a link closes at once, also when a peer has opened a connection and said nothing on it yet', async (t) => {
+test('a link closes promptly even if a peer has connected without sending anything', async (t) => {
   const { link, address } = await createLink(t)
-  const silent = connect(splitAddress(address))
-  t.teardown(() => { silent.destroy() })
-  await once(silent, 'connect')
+  const idlePeer = connect(splitAddress(address))
+  t.teardown(() => { idlePeer.destroy() })
+  await once(idlePeer, 'connect')
   const outcome = await raceTimeout(new SystemClock(), link.close(), 2000)
   t.not(outcome, TimedOut)
 })
