--- a/net/http-exchange/src/connectionPool.ts
+++ b/net/http-exchange/src/connectionPool.ts
@@ -5,132 +5,132 @@
 
 export interface ConnectionPoolOptions {
   clock: Clock
-  /** A connection must have come up within this time. */
+  /** The timeout for opening a connection. */
   connectTimeoutMs: number
-  /** Open ones, to all upstreams together. */
+  /** The maximum number of open connections to all upstreams together. */
   maxConnections?: number
-  /** How many of an upstream's connections are this box's. No more are kept, since it takes a number of all boxes together. */
+  /** This box's share of the connections that an upstream accepts from all boxes together. No more than these are kept open. */
   shareOf?: (address: string) => number | undefined
-  /** Which start of an upstream is known to be at an address. A connection from before another one came is not used again: what is sent on it may be lost, and nobody could tell. */
+  /** Identifies the start of the upstream's process that is known to be at an address. A connection to an earlier start is not reused: a request sent on it may be lost undetected. */
   startAt?: (address: string) => string | undefined
   onOpened?: (address: string) => void
 }
 
 export interface ExchangeOptions {
-  /** Ends the exchange and its connection. */
+  /** Cancels the exchange and closes its connection. */
   signal: AbortSignal
-  /** Tells an answer to this request from one to another. */
+  /** Whether an answer belongs to this request and not to another one. */
   accept?: AcceptHead
-  /** The request is about to be sent: from here on the upstream may act on it. */
+  /** Called just before the request is sent. From then on the upstream may run it. */
   onSend?: () => void
-  /** Opens a new connection for it. */
+  /** Opens a new connection instead of reusing an idle one. */
   fresh?: boolean
 }
 
-/** An idle connection is not used in the last part of its life, since the upstream may be closing it. */
+/** An idle connection is not reused this close to its keep-alive timeout, since the upstream may already be closing it. */
 const KEEP_ALIVE_MARGIN_MS = 500
-/** A kept connection that says nothing to a request for this long, and is given up, may have gone silent, and others with it: several times a usual answer's time. */
-const SILENT_AFTER_MS = 250
-/** Idle connections kept to one upstream; more were needed only in a burst. */
+/** If an exchange on a reused connection is cancelled after it received nothing for this long, several times a typical response time, the upstream's other idle connections may be unresponsive too. */
+const UNRESPONSIVE_AFTER_MS = 250
+/** The maximum number of idle connections kept to one upstream; more are needed only in bursts. */
 const MAX_IDLE_PER_UPSTREAM = 32
 
-/** Connections to upstreams, each used for one exchange at a time. Nothing is sent twice. */
+/** Pools connections to upstreams, each used for one exchange at a time. Never sends a request twice. */
 export class ConnectionPool {
   readonly #opts: ConnectionPoolOptions
-  readonly #idle = new Map<string, UpstreamConnection[]>()
-  readonly #open = new Set<UpstreamConnection>()
-  /** Open ones to each upstream. */
-  readonly #counts = new Map<string, number>()
+  readonly #idleConnections = new Map<string, UpstreamConnection[]>()
+  readonly #openConnections = new Set<UpstreamConnection>()
+  /** The number of open connections to each upstream. */
+  readonly #openCounts = new Map<string, number>()
 
   constructor (opts: ConnectionPoolOptions) {
     this.#opts = opts
   }
 
-  /** Sends a request once and resolves with its answer's head. Throws `ExchangeError`. */
+  /** Sends a request once and resolves when the head of its answer has arrived. Throws `ExchangeError`. */
   async exchange (address: string, request: ExchangeRequest, opts: ExchangeOptions): Promise<ExchangeAnswer> {
-    const { signal, accept = () => true, onSend, fresh = false } = opts
-    if (signal.aborted) throw new ExchangeError('the exchange was given up', { mayHaveRun: false })
-    const kept = fresh ? undefined : this.#takeIdle(address)
-    const connection = kept ?? await this.#connect(address, signal)
+    const { signal, accept = () => true, onSend, fresh: forceNewConnection = false } = opts
+    if (signal.aborted) throw new ExchangeError('the exchange was cancelled', { mayHaveRun: false })
+    const idleConnection = forceNewConnection ? undefined : this.#acquireIdle(address)
+    const connection = idleConnection ?? await this.#connect(address, signal)
     if (signal.aborted) {
-      this.#keep(connection)
-      throw new ExchangeError('the exchange was given up', { mayHaveRun: false })
+      this.#keepIdleOrClose(connection)
+      throw new ExchangeError('the exchange was cancelled', { mayHaveRun: false })
     }
     const token = Symbol('exchange')
     const cancel = () => {
       const sentAtMs = connection.lastSentAtMs
-      const silent = kept !== undefined && connection.silentForMs(token) >= SILENT_AFTER_MS
+      const unresponsive = idleConnection !== undefined && connection.unansweredForMs(token) >= UNRESPONSIVE_AFTER_MS
       connection.cancel(token)
-      if (silent) this.distrustKept(sentAtMs, address)
+      if (unresponsive) this.distrustKept(sentAtMs, address)
     }
     signal.addEventListener('abort', cancel, { once: true })
-    const settle = () => {
+    const finish = () => {
       signal.removeEventListener('abort', cancel)
       cancel()
     }
     onSend?.()
     try {
       const answer = await connection.send(request, accept, token)
-      return { ...answer, body: settling(answer.body, settle) }
+      return { ...answer, body: finishAfterReading(answer.body, finish) }
     } catch (thrown) {
-      settle()
+      finish()
       throw thrown
     }
   }
 
-  /** Whether the next exchange with an upstream would be on a kept connection. */
+  /** Whether the next exchange with an upstream would reuse an idle connection. */
   hasKept (address: string): boolean {
-    return (this.#idle.get(address) ?? []).some((connection) => this.#isFresh(connection) && this.#leadsToPresentStart(connection))
+    return (this.#idleConnections.get(address) ?? []).some((connection) => this.#isWithinKeepAlive(connection) && this.#isToCurrentStart(connection))
   }
 
   close (): void {
-    this.#open.forEach((connection) => connection.close())
+    this.#openConnections.forEach((connection) => connection.close())
   }
 
-  /** Closes kept connections on which nothing came since then. */
+  /** Closes idle connections that have received nothing since `sinceMs`. */
   distrustKept (sinceMs: number, address?: string): void {
-    const known = address === undefined ? [...this.#idle.values()] : [this.#idle.get(address) ?? []]
-    known.flat().filter(({ heardAtMs }) => heardAtMs < sinceMs).forEach((connection) => connection.close())
+    const candidates = address === undefined ? [...this.#idleConnections.values()] : [this.#idleConnections.get(address) ?? []]
+    candidates.flat().filter(({ lastReceivedAtMs }) => lastReceivedAtMs < sinceMs).forEach((connection) => connection.close())
   }
 
-  /** Closes idle connections whose upstream is about to close them, or is not used any more. */
+  /** Closes idle connections that are close to their keep-alive timeout or lead to an earlier start of their upstream. */
   closeStale (): void {
-    this.#idle.forEach((connections, address) => {
-      connections.filter((connection) => !this.#isFresh(connection) || !this.#leadsToPresentStart(connection)).forEach((connection) => connection.close())
-      if (this.#idle.get(address)?.length === 0) this.#idle.delete(address)
+    this.#idleConnections.forEach((connections, address) => {
+      connections.filter((connection) => !this.#isWithinKeepAlive(connection) || !this.#isToCurrentStart(connection)).forEach((connection) => connection.close())
+      if (this.#idleConnections.get(address)?.length === 0) this.#idleConnections.delete(address)
     })
   }
 
-  #takeIdle (address: string): UpstreamConnection | undefined {
-    const idle = this.#idle.get(address)
+  #acquireIdle (address: string): UpstreamConnection | undefined {
+    const idle = this.#idleConnections.get(address)
     for (let connection = idle?.pop(); connection; connection = idle?.pop()) {
-      if (!connection.closed && this.#isFresh(connection) && this.#leadsToPresentStart(connection)) return connection
+      if (!connection.closed && this.#isWithinKeepAlive(connection) && this.#isToCurrentStart(connection)) return connection
       connection.close()
     }
     return undefined
   }
 
-  #isFresh ({ idleSinceMs, keepAliveMs }: UpstreamConnection): boolean {
+  #isWithinKeepAlive ({ idleSinceMs, keepAliveMs }: UpstreamConnection): boolean {
     return this.#opts.clock.nowMs() - idleSinceMs < keepAliveMs - KEEP_ALIVE_MARGIN_MS
   }
 
-  #leadsToPresentStart ({ address, upstreamStart }: UpstreamConnection): boolean {
-    const present = this.#opts.startAt?.(address)
-    return upstreamStart === undefined || present === undefined || upstreamStart === present
+  #isToCurrentStart ({ address, upstreamStartId }: UpstreamConnection): boolean {
+    const currentStartId = this.#opts.startAt?.(address)
+    return upstreamStartId === undefined || currentStartId === undefined || upstreamStartId === currentStartId
   }
 
   async #connect (address: string, signal: AbortSignal): Promise<UpstreamConnection> {
     const { clock, connectTimeoutMs, onOpened } = this.#opts
-    this.#makeRoom()
+    this.#evictIdleIfFull()
     const connection = new UpstreamConnection({
       address,
-      upstreamStart: this.#opts.startAt?.(address),
+      upstreamStartId: this.#opts.startAt?.(address),
       clock,
-      onIdle: (idle) => this.#keep(idle),
-      onClosed: (closed) => this.#forget(closed),
+      onIdle: (idle) => this.#keepIdleOrClose(idle),
+      onClosed: (closed) => this.#remove(closed),
     })
-    this.#open.add(connection)
-    this.#counts.set(address, (this.#counts.get(address) ?? 0) + 1)
+    this.#openConnections.add(connection)
+    this.#openCounts.set(address, (this.#openCounts.get(address) ?? 0) + 1)
     onOpened?.(address)
     const abort = () => connection.close()
     signal.addEventListener('abort', abort, { once: true })
@@ -144,41 +144,41 @@
     throw new ExchangeError(`${address} did not accept a connection in time`, { mayHaveRun: false, unreachable: true })
   }
 
-  /** At the limit, the connection that was idle longest gives way. */
-  #makeRoom (): void {
+  /** At the limit, closes the connection that has been idle longest. Throws `ExchangeError` if none is idle. */
+  #evictIdleIfFull (): void {
     const { maxConnections = Number.POSITIVE_INFINITY } = this.#opts
-    if (this.#open.size < maxConnections) return
-    const idle = [...this.#idle.values()].flat()
+    if (this.#openConnections.size < maxConnections) return
+    const idle = [...this.#idleConnections.values()].flat()
     if (idle.length === 0) throw new ExchangeError(`all ${maxConnections} connections to upstreams are in use`, { mayHaveRun: false, refused: true })
     idle.reduce((oldest, one) => one.idleSinceMs < oldest.idleSinceMs ? one : oldest).close()
   }
 
-  #keep (connection: UpstreamConnection): void {
+  #keepIdleOrClose (connection: UpstreamConnection): void {
     const { address } = connection
-    const idle = this.#idle.get(address) ?? []
-    this.#idle.set(address, idle)
+    const idle = this.#idleConnections.get(address) ?? []
+    this.#idleConnections.set(address, idle)
     connection.idleSinceMs = this.#opts.clock.nowMs()
-    const open = this.#counts.get(address) ?? 0
+    const open = this.#openCounts.get(address) ?? 0
     const withinShare = open <= 1 || open <= (this.#opts.shareOf?.(address) ?? Number.POSITIVE_INFINITY)
     if (withinShare && idle.length < MAX_IDLE_PER_UPSTREAM) idle.push(connection)
     else connection.close()
   }
 
-  #forget (connection: UpstreamConnection): void {
-    this.#open.delete(connection)
-    const left = (this.#counts.get(connection.address) ?? 0) - 1
-    if (left > 0) this.#counts.set(connection.address, left)
-    else this.#counts.delete(connection.address)
-    const idle = this.#idle.get(connection.address)
-    if (idle?.includes(connection)) this.#idle.set(connection.address, idle.filter((one) => one !== connection))
+  #remove (connection: UpstreamConnection): void {
+    this.#openConnections.delete(connection)
+    const remaining = (this.#openCounts.get(connection.address) ?? 0) - 1
+    if (remaining > 0) this.#openCounts.set(connection.address, remaining)
+    else this.#openCounts.delete(connection.address)
+    const idle = this.#idleConnections.get(connection.address)
+    if (idle?.includes(connection)) this.#idleConnections.set(connection.address, idle.filter((one) => one !== connection))
   }
 }
 
-/** Passes a body on. Whoever stops reading early gives up the exchange. */
-async function * settling (body: AsyncIterable<Uint8Array>, settle: () => void): AsyncGenerator<Uint8Array> {
+/** Yields a body's chunks, then calls `finish`. A reader that stops early thereby cancels the exchange. */
+async function * finishAfterReading (body: AsyncIterable<Uint8Array>, finish: () => void): AsyncGenerator<Uint8Array> {
   try {
     yield * body
   } finally {
-    settle()
+    finish()
   }
 }
--- a/net/http-exchange/src/exchange.ts
+++ b/net/http-exchange/src/exchange.ts
@@ -1,9 +1,9 @@
-/** A request to an upstream, as it goes over the wire. */
+/** A request to an upstream, as it is sent. */
 export interface ExchangeRequest {
   method: string
   /** Path and query. */
   target: string
-  /** Names and values in turn. Host is among them; length and connection headers are added. */
+  /** Alternating names and values. Must include Host; the length header is added. */
   headers: readonly string[]
   body: Uint8Array
 }
@@ -11,12 +11,12 @@
 /** Status and headers of an answer. */
 export interface AnswerHead {
   status: number
-  /** Names and values in turn, as received. */
+  /** Alternating names and values, as received. */
   headers: readonly string[]
 }
 
 /** An answer whose head has arrived. */
 export interface ExchangeAnswer extends AnswerHead {
-  /** Ends when the answer is whole, and throws `ExchangeError` when it broke off. */
+  /** Ends once the answer is complete. Throws `ExchangeError` if the answer is interrupted. */
   body: AsyncIterable<Uint8Array>
 }
--- a/net/http-exchange/src/exchangeError.ts
+++ b/net/http-exchange/src/exchangeError.ts
@@ -1,4 +1,4 @@
 import { UpstreamError } from '@reelspan/upstream.client'
 
-/** An exchange failed. Its verdict is `notRun` only when no byte of the request was sent. */
+/** An exchange failed. The verdict is `notRun` only if no byte of the request was sent. */
 export class ExchangeError extends UpstreamError {}
--- a/net/http-exchange/src/responseParser.ts
+++ b/net/http-exchange/src/responseParser.ts
@@ -1,23 +1,23 @@
 import { HTTPParser } from 'http-parser-js'
 
-/** What a parser tells of the answers on one connection. */
+/** Events of the answers on one connection. */
 export interface ParserEvents {
-  /** Answers whether no body follows, whatever the head says of its length. */
+  /** Returns true if no body follows, even if the head gives a length. */
   onHead: (head: { status: number, headers: readonly string[], reusable: boolean }) => boolean
   onBody: (bytes: Uint8Array) => void
   onComplete: () => void
 }
 
-// The library drops a bit of each byte of a head, so that bytes above 127 become others, line ends among them.
+// By default the library decodes heads as ASCII and drops each byte's high bit, which turns bytes above 127 into others, even line ends.
 HTTPParser.encoding = 'latin1'
 
 const CHUNK_SIZE = /^[\da-f]{1,8}[ \t]*(;.*)?$/i
-/** Tells the library that no body follows. */
+/** The value of `kOnHeadersComplete` that tells the library that no body follows. */
 const SKIP_BODY = 1
 const FIRST_FINAL_STATUS = 200
 const CONTENT_LENGTH = /^\d{1,15}$/
 
-/** The parser's own fields that the stricter step below works on. */
+/** Internal fields of the parser that the stricter chunk size check uses. */
 interface ParserState {
   consumeLine: () => string | undefined
   body_bytes: number | null
@@ -25,8 +25,8 @@
 }
 
 /**
- * Splits a connection's bytes into answers. Stricter than its library where a
- * malformed length would make an answer that broke off look whole.
+ * Parses a connection's bytes into answers. It is stricter than its library where a
+ * malformed length would make an interrupted answer look complete.
  */
 export class ResponseParser {
   readonly #parser = new HTTPParser(HTTPParser.RESPONSE)
@@ -37,7 +37,7 @@
     parser[HTTPParser.kOnHeadersComplete] = (info) => {
       const { statusCode: status, headers, shouldKeepAlive } = info
       checkFraming(headers)
-      // Interim answers stand before the real one.
+      // Interim (1xx) answers precede the final one.
       interim = status < FIRST_FINAL_STATUS
       const bodyless = !interim && events.onHead({ status, headers, reusable: shouldKeepAlive })
       return bodyless ? SKIP_BODY : undefined
@@ -46,16 +46,16 @@
     parser[HTTPParser.kOnMessageComplete] = () => {
       if (!interim) events.onComplete()
     }
-    requireChunkSizes(parser as unknown as ParserState & { BODY_CHUNKHEAD: () => void })
+    rejectMalformedChunkSizes(parser as unknown as ParserState & { BODY_CHUNKHEAD: () => void })
   }
 
-  /** Takes in bytes. Throws when they are not an answer. */
+  /** Parses received bytes. Throws if they are not valid HTTP. */
   push (bytes: Buffer): void {
     const result = this.#parser.execute(bytes)
     if (result instanceof Error) throw result
   }
 
-  /** The connection has ended in order: an answer without a length is whole now. */
+  /** Signals that the connection was closed without an error, which completes an answer without a length. */
   end (): void {
     this.#parser.finish()
   }
@@ -67,12 +67,12 @@
     const lower = name.toLowerCase()
     const value = headers[i + 1]
     if (lower === 'content-length' && !CONTENT_LENGTH.test(value)) throw new Error(`malformed content-length «${value}»`)
-    if (lower === 'transfer-encoding' && value.toLowerCase() !== 'chunked') throw new Error(`unknown transfer-encoding «${value}»`)
+    if (lower === 'transfer-encoding' && value.toLowerCase() !== 'chunked') throw new Error(`unsupported transfer-encoding «${value}»`)
   })
 }
 
-/** The library takes a chunk size that is no number for the end of the answer. */
-function requireChunkSizes (parser: ParserState & { BODY_CHUNKHEAD: () => void }): void {
+/** Replaces the library's parsing of chunk sizes, which takes an invalid chunk size for the end of the answer. */
+function rejectMalformedChunkSizes (parser: ParserState & { BODY_CHUNKHEAD: () => void }): void {
   parser.BODY_CHUNKHEAD = () => {
     const line = parser.consumeLine()
     if (line === undefined) return
--- a/net/http-exchange/src/upstreamConnection.ts
+++ b/net/http-exchange/src/upstreamConnection.ts
@@ -11,42 +11,42 @@
 
 interface Exchange {
   token: symbol
-  /** The answer has a head alone. */
+  /** The answer has no body, since the request is a HEAD request. */
   headOnly: boolean
   accept: AcceptHead
   resolve: (answer: ExchangeAnswer) => void
   reject: (error: ExchangeError) => void
   /** Set once the head has arrived. */
   body?: AsyncQueue<Uint8Array>
-  /** The answer at the front belongs to another request and is passed over. */
+  /** The answer being received belongs to another request and is skipped. */
   skipping: boolean
   reusable: boolean
 }
 
 export interface UpstreamConnectionOptions {
   address: string
-  /** Which start of the upstream was known to be there when the connection was opened. */
-  upstreamStart?: string
+  /** The start of the upstream's process that was known to be at the address when the connection was opened. */
+  upstreamStartId?: string
   clock: Clock
-  /** Nothing runs on the connection any more. Called once an exchange; the connection may be used again if it is `reusable`. */
+  /** Called when an exchange has ended and the connection can be reused. */
   onIdle: (connection: UpstreamConnection) => void
   onClosed: (connection: UpstreamConnection) => void
 }
 
-/** Where `Keep-Alive` gives no time, idle connections are taken to live this long; commonly used servers close after 5 s or more. */
+/** The assumed keep-alive timeout of upstreams that send none. Common servers close idle connections after 5 s or more. */
 const DEFAULT_KEEP_ALIVE_MS = 4000
-/** A connection that stays idle longer is not used again, whatever its upstream says: nothing would tell that it went silent meanwhile. */
-const LONGEST_KEEP_ALIVE_MS = 10_000
-/** The operating system asks a silent upstream for a sign of life from then on; with Node's fixed ten probes, one a second, it ends the connection after 11 s. */
-const PROBE_AFTER_MS = 1000
+/** A connection that has been idle longer is not reused even if its upstream would keep it: it may have become unresponsive undetected. */
+const MAX_KEEP_ALIVE_MS = 10_000
+/** The operating system probes an unresponsive upstream from then on. With Node's fixed ten probes, one per second, it closes the connection after 11 s. */
+const TCP_KEEP_ALIVE_DELAY_MS = 1000
 const MS_PER_SECOND = 1000
-const HEAD = 'HEAD'
-const NO_BYTES = new Uint8Array()
+const HEAD_METHOD = 'HEAD'
+const EMPTY_BYTES = new Uint8Array()
 
-/** One connection to an upstream, with at most one exchange at a time. Bytes that no request asked for end it. */
+/** One connection to an upstream, with at most one exchange at a time. It is closed if bytes arrive while no exchange runs. */
 export class UpstreamConnection {
   readonly address: string
-  readonly upstreamStart?: string
+  readonly upstreamStartId?: string
   readonly #opts: UpstreamConnectionOptions
   readonly #socket: Socket
   readonly #parser: ResponseParser
@@ -54,20 +54,20 @@
   #exchange?: Exchange
   #closed = false
   #keepAliveMs = DEFAULT_KEEP_ALIVE_MS
-  /** On the clock of whoever uses the connection. */
+  /** Set by the pool, on its clock. */
   idleSinceMs = 0
   #lastSentAtMs = 0
-  #heardAtMs: number
+  #lastReceivedAtMs: number
 
   constructor (opts: UpstreamConnectionOptions) {
-    this.#heardAtMs = opts.clock.nowMs()
+    this.#lastReceivedAtMs = opts.clock.nowMs()
     this.address = opts.address
-    this.upstreamStart = opts.upstreamStart
+    this.upstreamStartId = opts.upstreamStartId
     this.#opts = opts
-    this.#socket = connect({ ...splitAddress(opts.address), noDelay: true, allowHalfOpen: true, keepAlive: true, keepAliveInitialDelay: PROBE_AFTER_MS })
+    this.#socket = connect({ ...splitAddress(opts.address), noDelay: true, allowHalfOpen: true, keepAlive: true, keepAliveInitialDelay: TCP_KEEP_ALIVE_DELAY_MS })
     this.#parser = new ResponseParser({
-      onHead: (head) => this.#takeHead(head),
-      onBody: (bytes) => this.#takeBody(bytes),
+      onHead: (head) => this.#receiveHead(head),
+      onBody: (bytes) => this.#receiveBody(bytes),
       onComplete: () => this.#complete(),
     })
     this.#opened = new Promise((resolve, reject) => {
@@ -76,8 +76,8 @@
     })
     this.#opened.catch(() => {})
     this.#socket.on('data', (bytes) => this.#receive(bytes))
-    this.#socket.on('end', () => this.#finish())
-    // Node tells of every error by 'close' too, which is what acts on it.
+    this.#socket.on('end', () => this.#onEnd())
+    // Node emits 'close' after every error, and that is handled below.
     this.#socket.on('error', () => {})
     this.#socket.on('close', () => this.#fail('closed the connection'))
   }
@@ -86,7 +86,7 @@
     return this.#closed
   }
 
-  /** How long the upstream keeps the connection while it is idle. */
+  /** The keep-alive timeout of the connection. */
   get keepAliveMs (): number {
     return this.#keepAliveMs
   }
@@ -96,15 +96,15 @@
     return this.#lastSentAtMs
   }
 
-  /** When the connection was opened, or something came on it last. */
-  get heardAtMs (): number {
-    return this.#heardAtMs
+  /** When something was last received, or else when the connection was created. */
+  get lastReceivedAtMs (): number {
+    return this.#lastReceivedAtMs
   }
 
-  /** How long nothing has come since the request of an exchange that still runs was sent. */
-  silentForMs (token: symbol): number {
-    const waits = this.#exchange?.token === token && this.#heardAtMs <= this.#lastSentAtMs
-    return waits ? this.#opts.clock.nowMs() - this.#lastSentAtMs : 0
+  /** How long ago the exchange's request was sent, if the exchange still runs and nothing has been received since; otherwise 0. */
+  unansweredForMs (token: symbol): number {
+    const isWaiting = this.#exchange?.token === token && this.#lastReceivedAtMs <= this.#lastSentAtMs
+    return isWaiting ? this.#opts.clock.nowMs() - this.#lastSentAtMs : 0
   }
 
   /** Resolves once the connection is open. */
@@ -112,10 +112,10 @@
     return this.#opened
   }
 
-  /** Sends a request and resolves with its answer's head. The token names the exchange, to cancel it by. */
+  /** Sends a request and resolves when the head of its answer has arrived. The token identifies the exchange for `cancel`. */
   send (request: ExchangeRequest, accept: AcceptHead, token: symbol): Promise<ExchangeAnswer> {
     return new Promise((resolve, reject) => {
-      this.#exchange = { token, headOnly: request.method === HEAD, accept, resolve, reject, skipping: false, reusable: false }
+      this.#exchange = { token, headOnly: request.method === HEAD_METHOD, accept, resolve, reject, skipping: false, reusable: false }
       this.#lastSentAtMs = this.#opts.clock.nowMs()
       this.#socket.cork()
       this.#socket.write(headText(request), 'latin1')
@@ -124,41 +124,41 @@
     })
   }
 
-  /** Ends the connection if the exchange still runs on it. */
+  /** Closes the connection if the exchange still runs on it. */
   cancel (token: symbol): void {
-    if (this.#exchange?.token === token) this.#fail('was given up')
+    if (this.#exchange?.token === token) this.#fail('had not completed its answer when the exchange was cancelled')
   }
 
-  /** Ends the connection and whatever runs on it. */
-  close (reason = 'was given up'): void {
+  /** Closes the connection. An exchange that runs on it fails. */
+  close (reason = 'had not completed its answer when the connection was closed'): void {
     this.#fail(reason)
   }
 
   #receive (bytes: Buffer): void {
-    this.#heardAtMs = this.#opts.clock.nowMs()
-    if (!this.#exchange) return this.#fail('sent bytes that nothing asked for')
+    this.#lastReceivedAtMs = this.#opts.clock.nowMs()
+    if (!this.#exchange) return this.#fail('sent data without a request')
     try {
       this.#parser.push(bytes)
     } catch (cause) {
-      this.#fail('sent bytes that are not an answer', cause)
+      this.#fail('sent an invalid HTTP answer', cause)
     }
   }
 
-  /** Answers whether no body follows. */
-  #takeHead (head: { status: number, headers: readonly string[], reusable: boolean }): boolean {
+  /** Returns whether no body follows. */
+  #receiveHead (head: { status: number, headers: readonly string[], reusable: boolean }): boolean {
     const exchange = this.#exchange
-    // A second answer behind a whole one: the connection is of no more use.
-    if (!exchange || exchange.body) throw new Error('an answer that nothing asked for')
+    // A second answer follows a complete one, so the connection cannot be reused.
+    if (!exchange || exchange.body) throw new Error('an answer without a request')
     exchange.skipping = !exchange.accept(head)
     if (exchange.skipping) return false
     exchange.reusable = head.reusable && !this.#closed
-    this.#noteKeepAlive(head.headers)
+    this.#readKeepAlive(head.headers)
     exchange.body = new AsyncQueue()
     exchange.resolve({ status: head.status, headers: head.headers, body: exchange.body })
     return exchange.headOnly
   }
 
-  #takeBody (bytes: Uint8Array): void {
+  #receiveBody (bytes: Uint8Array): void {
     if (!this.#exchange?.skipping) this.#exchange?.body?.push(bytes)
   }
 
@@ -171,31 +171,31 @@
     }
     this.#exchange = undefined
     exchange.body?.end()
-    // Until the whole request is sent, the upstream would take what comes next for the rest of it.
+    // If the request has not been sent completely, the upstream would read the next one as the rest of this one.
     const sent = this.#socket.writableLength === 0
-    // Whatever stands behind the answer in the same read is found before the connection is used again.
-    queueMicrotask(() => this.#rest(exchange.reusable && sent))
+    // Bytes after the answer in the same read are parsed before the connection is reused.
+    queueMicrotask(() => this.#releaseOrClose(exchange.reusable && sent))
   }
 
-  #rest (reusable: boolean): void {
+  #releaseOrClose (reusable: boolean): void {
     if (this.#closed) return
     if (reusable) this.#opts.onIdle(this)
     else this.close('closes the connection after its answer')
   }
 
-  #noteKeepAlive (headers: readonly string[]): void {
+  #readKeepAlive (headers: readonly string[]): void {
     const seconds = /timeout=(\d+)/.exec(headerValue(headers, 'keep-alive') ?? '')?.[1]
-    if (seconds !== undefined) this.#keepAliveMs = Math.min(LONGEST_KEEP_ALIVE_MS, Number(seconds) * MS_PER_SECOND)
+    if (seconds !== undefined) this.#keepAliveMs = Math.min(MAX_KEEP_ALIVE_MS, Number(seconds) * MS_PER_SECOND)
   }
 
   /**
-   * No more bytes follow. Node says so too when a reset arrives together with
-   * the last bytes; only a write tells the two apart, and one of no bytes does
-   * no harm. It matters to an answer that has no length.
+   * The upstream will send no more. Node also emits 'end' if a reset arrives together
+   * with the last bytes. Only a write, here an empty one, distinguishes the two: an
+   * answer without a length is complete only if the connection was not reset.
    */
-  #finish (): void {
+  #onEnd (): void {
     if (!this.#exchange?.body) return this.#fail('ended the connection')
-    this.#socket.write(NO_BYTES, (error) => {
+    this.#socket.write(EMPTY_BYTES, (error) => {
       if (!error && !this.#closed) this.#parser.end()
       this.#fail(error ? 'reset the connection' : 'ended the connection')
     })
--- a/net/http-exchange/test/connectionPool.ts
+++ b/net/http-exchange/test/connectionPool.ts
@@ -13,7 +13,7 @@
   connections: number
 }
 
-/** A server that does with each connection what the test says. */
+/** Starts a server that passes each connection to the test's `serve`. */
 async function startUpstream (t: ExecutionContext, serve: (socket: Socket, nth: number) => void): Promise<Upstream> {
   const upstream = { address: '', connections: 0 }
   const sockets = new Set<Socket>()
@@ -51,7 +51,7 @@
   return `HTTP/1.1 200 OK\r\n${headers}Content-Length: ${text.length}\r\n\r\n${text}`
 }
 
-test('a connection serves one request after the other', async (t) => {
+test('a connection is reused for the next request', async (t) => {
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => socket.write(answer('hello'))))
   const pool = createPool()
   const first = await pool.exchange(upstream.address, GET, { signal: signal() })
@@ -62,33 +62,33 @@
   pool.close()
 })
 
-test('an answer without a length that ends with a reset is not whole', async (t) => {
-  // The reset arrives together with the last bytes, so that the socket tells of an end in order.
+test('an answer without a length that ends with a reset is incomplete', async (t) => {
+  // The reset arrives together with the last bytes, so the socket emits 'end' as after a normal close.
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => {
     socket.write('HTTP/1.1 200 OK\r\n\r\nhello', () => socket.resetAndDestroy())
   }))
   const pool = createPool()
   const { body } = await pool.exchange(upstream.address, GET, { signal: signal() })
-  // Busy while both arrive.
+  // Blocks the event loop while both arrive.
   const untilMs = performance.now() + 30
   while (performance.now() < untilMs);
   await t.throwsAsync(textOf(body), { instanceOf: ExchangeError })
 })
 
-test('an answer without a length that ends in order is whole', async (t) => {
+test('an answer without a length that ends with a normal close is complete', async (t) => {
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => socket.end('HTTP/1.1 200 OK\r\n\r\nhello')))
   const pool = createPool()
   const { body } = await pool.exchange(upstream.address, GET, { signal: signal() })
   t.is(await textOf(body), 'hello')
 })
 
-test('an answer that ends before its length is not whole', async (t) => {
+test('an answer that ends before its length is incomplete', async (t) => {
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => socket.end('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello')))
   const { body } = await createPool().exchange(upstream.address, GET, { signal: signal() })
   await t.throwsAsync(textOf(body), { instanceOf: ExchangeError })
 })
 
-test('a malformed chunk size does not end an answer', async (t) => {
+test('an answer with a malformed chunk size fails', async (t) => {
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => {
     socket.write('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nrubbish\r\n\r\n')
   }))
@@ -96,7 +96,7 @@
   await t.throwsAsync(textOf(body), { instanceOf: ExchangeError })
 })
 
-test('a second answer behind a whole one is given to nobody', async (t) => {
+test('a second answer after a complete one is discarded, and its connection is not reused', async (t) => {
   const upstream = await startUpstream(t, (socket, nth) => socket.on('data', () => {
     socket.write(nth === 0 ? answer('first') + answer('stray') : answer('second'))
   }))
@@ -109,7 +109,7 @@
   pool.close()
 })
 
-test('an answer to another request is passed over, and the right one behind it is taken', async (t) => {
+test('an answer to another request is skipped, and the following one is returned', async (t) => {
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => {
     socket.write(answer('late', 'Id: 1\r\n') + answer('mine', 'Id: 2\r\n'))
   }))
@@ -117,7 +117,7 @@
   t.is(await textOf(body), 'mine')
 })
 
-test('a connection whose upstream answered before it had the whole request is not used again', async (t) => {
+test('a connection whose upstream answered before it received the whole request is not reused', async (t) => {
   const upstream = await startUpstream(t, (socket) => {
     socket.pause()
     setImmediate(() => socket.write(answer('early')))
@@ -131,12 +131,12 @@
   pool.close()
 })
 
-test('giving up a finished exchange does not touch the next one on its connection', async (t) => {
+test('cancelling a finished exchange does not affect the next one on its connection', async (t) => {
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => setImmediate(() => socket.write(answer('hello')))))
   const pool = createPool()
   const stop = new AbortController()
   const first = await pool.exchange(upstream.address, GET, { signal: stop.signal })
-  // The first answer is whole, but nobody has read it yet.
+  // The first answer is complete, but has not been read yet.
   await new Promise((resolve) => setImmediate(resolve))
   const second = pool.exchange(upstream.address, GET, { signal: signal() })
   stop.abort()
@@ -145,7 +145,7 @@
   pool.close()
 })
 
-test('a request that no connection could be opened for has not run', async (t) => {
+test('a request has not run if its connection was refused', async (t) => {
   const upstream = await startUpstream(t, () => {})
   const closed = createServer()
   closed.listen(0, '127.0.0.1')
@@ -165,7 +165,7 @@
   t.is((error as ExchangeError).verdict, Verdict.MayHaveRun)
 })
 
-test('a header of an answer keeps every byte', async (t) => {
+test('header values keep bytes above 127', async (t) => {
   const value = Array.from({ length: 128 }, (_, i) => String.fromCharCode(128 + i)).join('')
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => socket.write(Buffer.from(answer('hello', `Note: ${value}\r\n`), 'latin1'))))
   const { headers, body } = await createPool().exchange(upstream.address, GET, { signal: signal() })
@@ -173,7 +173,7 @@
   t.is(await textOf(body), 'hello')
 })
 
-test('an answer to HEAD is whole without the body that its length speaks of', async (t) => {
+test('an answer to HEAD is complete without a body of its content length', async (t) => {
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => socket.write('HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n')))
   const pool = createPool()
   for (let nth = 0; nth < 2; nth++) {
@@ -185,7 +185,7 @@
   pool.close()
 })
 
-test('at the limit the connection that was idle longest gives way', async (t) => {
+test('at the limit the connection that has been idle longest is closed', async (t) => {
   const clock = new VirtualClock()
   const [a, b, c] = await Promise.all([1, 2, 3].map(() => startUpstream(t, (socket) => socket.on('data', () => socket.write(answer('hello'))))))
   const pool = new ConnectionPool({ clock, connectTimeoutMs: 5000, maxConnections: 2 })
@@ -201,7 +201,7 @@
   t.deepEqual([a, b, c].map(({ connections }) => connections), [2, 1, 2])
 })
 
-test('a request that finds all connections in use has not run, and its upstream is not blamed', async (t) => {
+test('a request has not run if all connections are in use, and its upstream is not reported as unreachable', async (t) => {
   const upstream = await startUpstream(t, () => {})
   const pool = new ConnectionPool({ clock: new SystemClock(), connectTimeoutMs: 5000, maxConnections: 1 })
   t.teardown(() => pool.close())
@@ -212,27 +212,27 @@
   t.true(error.refused)
 })
 
-test('no more connections are kept to an upstream than this box\'s share of what it takes', async (t) => {
+test('no more idle connections to an upstream are kept than this box\'s share', async (t) => {
   const waiting: Socket[] = []
-  let together = 3
+  let batchSize = 3
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => {
     waiting.push(socket)
-    if (waiting.length >= together) waiting.splice(0).forEach((one) => one.write(answer('hello')))
+    if (waiting.length >= batchSize) waiting.splice(0).forEach((one) => one.write(answer('hello')))
   }))
   const pool = new ConnectionPool({ clock: new SystemClock(), connectTimeoutMs: 5000, shareOf: () => 2 })
   t.teardown(() => pool.close())
   const ask = async () => textOf((await pool.exchange(upstream.address, GET, { signal: signal() })).body)
   await Promise.all([ask(), ask(), ask()])
   t.is(upstream.connections, 3)
-  together = 2
+  batchSize = 2
   await Promise.all([ask(), ask()])
   t.is(upstream.connections, 3)
-  together = 3
+  batchSize = 3
   await Promise.all([ask(), ask(), ask()])
   t.is(upstream.connections, 4)
 })
 
-test('a connection from before an upstream started again is not used', async (t) => {
+test('a connection from before an upstream\'s restart is not reused', async (t) => {
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => socket.write(answer('hello'))))
   let start: string | undefined = 'e@100'
   const pool = new ConnectionPool({ clock: new SystemClock(), connectTimeoutMs: 5000, startAt: () => start })
--- a/net/http-exchange/test/silentConnections.ts
+++ b/net/http-exchange/test/silentConnections.ts
@@ -9,20 +9,20 @@
 import test, { type ExecutionContext } from 'ava'
 
 const GET = { method: 'GET', target: '/', headers: ['Host', 'x'], body: new Uint8Array() }
-/** Longer than a kept connection may say nothing before others of its upstream are doubted. */
-const GIVEN_UP_AFTER_MS = 400
+/** Longer than the time without an answer after which the upstream's other idle connections are closed as well. */
+const CANCEL_AFTER_MS = 400
 
-/** For exchanges that are answered at once, unless they are lost. */
-const LOST_AFTER_MS = 10_000
+/** A generous timeout for exchanges that are answered at once unless their connection is unresponsive. */
+const EXCHANGE_TIMEOUT_MS = 10_000
 
-/** An upstream behind a proxy, and a pool. Answers all that wait once `together` requests have come. */
+/** Starts an upstream behind a proxy, and a pool. The upstream answers all pending requests once it has `batchSize` of them. */
 async function startUpstream (t: ExecutionContext, { keepAliveS = 60, clock = new SystemClock() }: { keepAliveS?: number, clock?: Clock } = {}) {
-  const upstream = { address: '', served: 0, connections: 0, together: 1 }
+  const upstream = { address: '', served: 0, connections: 0, batchSize: 1 }
   const waiting: (() => void)[] = []
   const server = createServer({ keepAliveTimeout: keepAliveS * 1000 }, (_, response) => {
     upstream.served++
     waiting.push(() => response.end('hello'))
-    if (waiting.length >= upstream.together) waiting.splice(0).forEach((answer) => answer())
+    if (waiting.length >= upstream.batchSize) waiting.splice(0).forEach((answer) => answer())
   })
   server.on('connection', () => { upstream.connections++ })
   server.listen(0, '127.0.0.1')
@@ -38,54 +38,54 @@
     server.close()
   })
   const ask = async (opts: Partial<ExchangeOptions> = {}) => {
-    const { body } = await pool.exchange(proxy.address, GET, { signal: AbortSignal.timeout(LOST_AFTER_MS), ...opts })
+    const { body } = await pool.exchange(proxy.address, GET, { signal: AbortSignal.timeout(EXCHANGE_TIMEOUT_MS), ...opts })
     for await (const bytes of body) void bytes
   }
-  /** Leaves so many kept connections. */
-  const keep = async (count: number) => {
-    upstream.together = count
+  /** Opens connections until this many are idle. */
+  const keepIdle = async (count: number) => {
+    upstream.batchSize = count
     await Promise.all(Array.from({ length: count }, () => ask()))
-    upstream.together = 1
+    upstream.batchSize = 1
   }
-  return { upstream, proxy, pool, ask, keep }
+  return { upstream, proxy, pool, ask, keepIdle }
 }
 
-for (const way of Object.values(Silence)) {
-  test(`when one kept connection is found silent (${way}), the others from before are not used again`, async (t) => {
-    const { upstream, proxy, ask, keep } = await startUpstream(t)
-    await keep(3)
-    proxy.silenceOpen(way)
-    const error = await t.throwsAsync(ask({ signal: AbortSignal.timeout(GIVEN_UP_AFTER_MS) }), { instanceOf: ExchangeError })
+for (const direction of Object.values(Silence)) {
+  test(`once a reused connection is found unresponsive (${direction}), older idle connections are not reused`, async (t) => {
+    const { upstream, proxy, ask, keepIdle } = await startUpstream(t)
+    await keepIdle(3)
+    proxy.silenceOpen(direction)
+    const error = await t.throwsAsync(ask({ signal: AbortSignal.timeout(CANCEL_AFTER_MS) }), { instanceOf: ExchangeError })
     t.is((error as ExchangeError).verdict, Verdict.MayHaveRun)
     await ask()
     t.is(upstream.connections, 4)
-    // Nothing was sent twice.
-    t.is(upstream.served, way === Silence.ToClient ? 5 : 4)
+    // No request was sent twice.
+    t.is(upstream.served, direction === Silence.ToClient ? 5 : 4)
   })
 }
 
-test('a kept connection that was heard of since the silent one was used stays in use', async (t) => {
-  const { upstream, proxy, ask, keep } = await startUpstream(t)
+test('an idle connection that received data after the request on the unresponsive one was sent is reused', async (t) => {
+  const { upstream, proxy, ask, keepIdle } = await startUpstream(t)
   await ask()
   proxy.silenceOpen(Silence.BothWays)
-  const silent = t.throwsAsync(ask({ signal: AbortSignal.timeout(GIVEN_UP_AFTER_MS) }), { instanceOf: ExchangeError })
-  await keep(2)
-  await silent
+  const cancelled = t.throwsAsync(ask({ signal: AbortSignal.timeout(CANCEL_AFTER_MS) }), { instanceOf: ExchangeError })
+  await keepIdle(2)
+  await cancelled
   await ask()
   t.is(upstream.connections, 3)
 })
 
-test('an answer that takes long on a new connection is no reason to doubt the others', async (t) => {
-  const { upstream, ask, keep } = await startUpstream(t)
-  await keep(2)
-  upstream.together = Number.POSITIVE_INFINITY
-  await t.throwsAsync(ask({ signal: AbortSignal.timeout(GIVEN_UP_AFTER_MS), fresh: true }), { instanceOf: ExchangeError })
-  upstream.together = 1
+test('a slow answer on a new connection does not close the idle connections', async (t) => {
+  const { upstream, ask, keepIdle } = await startUpstream(t)
+  await keepIdle(2)
+  upstream.batchSize = Number.POSITIVE_INFINITY
+  await t.throwsAsync(ask({ signal: AbortSignal.timeout(CANCEL_AFTER_MS), fresh: true }), { instanceOf: ExchangeError })
+  upstream.batchSize = 1
   await ask()
   t.is(upstream.connections, 3)
 })
 
-test('a connection whose answer was given up is not used again', async (t) => {
+test('a connection whose exchange was cancelled is not reused', async (t) => {
   const { upstream, proxy, ask } = await startUpstream(t)
   proxy.silenceOpen(Silence.BothWays)
   await ask()
@@ -95,7 +95,7 @@
   t.is(upstream.connections, 2)
 })
 
-test('an exchange that is to be on a new connection uses no kept one', async (t) => {
+test('an exchange that requires a new connection does not reuse an idle one', async (t) => {
   const { upstream, ask } = await startUpstream(t)
   await ask()
   await ask({ fresh: true })
@@ -104,10 +104,10 @@
   t.is(upstream.connections, 2)
 })
 
-test('kept connections that were not heard of since some time can be given up, for all upstreams', async (t) => {
+test('idle connections that received nothing since a given time can be closed for all upstreams', async (t) => {
   const clock = new VirtualClock()
-  const { upstream, pool, ask, keep } = await startUpstream(t, { clock })
-  await keep(2)
+  const { upstream, pool, ask, keepIdle } = await startUpstream(t, { clock })
+  await keepIdle(2)
   await clock.advance(1000)
   await ask()
   pool.distrustKept(clock.nowMs())
@@ -118,7 +118,7 @@
   t.is(upstream.connections, 3)
 })
 
-test('a connection is not kept for ever, whatever its upstream says', async (t) => {
+test('a connection that has been idle for long is not reused, even if its upstream would keep it', async (t) => {
   const clock = new VirtualClock()
   const { upstream, ask } = await startUpstream(t, { clock, keepAliveS: 3600 })
   await ask()
