--- a/net/http-front/src/answerCompletion.ts
+++ b/net/http-front/src/answerCompletion.ts
@@ -3,7 +3,7 @@
 import { Verdict } from '@reelspan/core.error'
 import { type AnswerEvent, AnswerEventKind, type FinalAnswer } from '@reelspan/core.messages'
 import { type Context } from 'koa'
-import { cutSlowCaller } from './cutSlowCaller.js'
+import { disconnectSlowCaller } from './disconnectSlowCaller.js'
 import { setVerdict } from './setVerdict.js'
 
 export interface AnswerOptions {
@@ -15,8 +15,8 @@
 
 type Events = AsyncGenerator<AnswerEvent>
 
-/** Answers with one JSON body, once the answer is whole. */
-export async function answerWhole (ctx: Context, events: Events, { model, key }: AnswerOptions): Promise<void> {
+/** Answers with a single JSON body once the completion has ended. */
+export async function answerNonStreamed (ctx: Context, events: Events, { model, key }: AnswerOptions): Promise<void> {
   const texts: string[] = []
   for await (const event of events) {
     if (event.kind === AnswerEventKind.Token) texts.push(event.text)
@@ -24,7 +24,7 @@
   }
 }
 
-/** Answers token by token, as server-sent events. A request that was refused gets a plain error. */
+/** Streams the answer as server-sent events, one per token. A request that fails before its first token gets a plain JSON error. */
 export async function answerStreamed (ctx: Context, events: Events, opts: AnswerOptions): Promise<void> {
   const first = await events.next()
   if (first.done) return
@@ -36,23 +36,23 @@
   ctx.set('content-type', 'text/event-stream')
   ctx.set('cache-control', 'no-store')
   const parts = serverSentEvents(first.value, events, opts)
-  ctx.body = Readable.from(cutSlowCaller(ctx, parts, opts), { objectMode: true, highWaterMark: 1 })
+  ctx.body = Readable.from(disconnectSlowCaller(ctx, parts, opts), { objectMode: true, highWaterMark: 1 })
 }
 
 async function * serverSentEvents (first: AnswerEvent, rest: Events, { model, key }: AnswerOptions): AsyncGenerator<string> {
-  // The same for each token of an answer, so it is made once.
-  const head = `data: {"id":${JSON.stringify(key)},"object":"text_completion","model":${JSON.stringify(model)},"choices":[{"index":0,"text":`
-  yield sseOf(first, head, key)
-  for await (const event of rest) yield sseOf(event, head, key)
+  // Built once, since it is the same for all tokens of an answer.
+  const chunkStart = `data: {"id":${JSON.stringify(key)},"object":"text_completion","model":${JSON.stringify(model)},"choices":[{"index":0,"text":`
+  yield formatEvent(first, chunkStart, key)
+  for await (const event of rest) yield formatEvent(event, chunkStart, key)
 }
 
-function sseOf (event: AnswerEvent, head: string, key: string): string {
+function formatEvent (event: AnswerEvent, chunkStart: string, key: string): string {
   switch (event.kind) {
-    case AnswerEventKind.Token: return `${head}${JSON.stringify(event.text)},"finish_reason":null}]}\n\n`
+    case AnswerEventKind.Token: return `${chunkStart}${JSON.stringify(event.text)},"finish_reason":null}]}\n\n`
     case AnswerEventKind.Final: {
       const finishReason = event.verdict === Verdict.Finished ? 'stop' : 'error'
       const rest = JSON.stringify({ usage: usageOf(event), reelspan: outcomeOf(event, key) }).slice(1)
-      return `${head}"","finish_reason":"${finishReason}"}],${rest}\n\ndata: [DONE]\n\n`
+      return `${chunkStart}"","finish_reason":"${finishReason}"}],${rest}\n\ndata: [DONE]\n\n`
     }
     case AnswerEventKind.Response: return ''
   }
--- a/net/http-front/src/createCallerServer.ts
+++ b/net/http-front/src/createCallerServer.ts
@@ -6,15 +6,15 @@
 import { type AnswerEvent, AnswerEventKind, type CompletionRequest, type FinalAnswer, RequestKind, type ServiceRequest } from '@reelspan/core.messages'
 import { ConnectionGuard } from '@reelspan/net.system-env'
 import Koa, { type Context } from 'koa'
-import { answerStreamed, answerWhole } from './answerCompletion.js'
+import { answerStreamed, answerNonStreamed } from './answerCompletion.js'
 import { Header } from './headers.js'
-import { keyOrCreated } from './keyOrCreated.js'
+import { readOrCreateKey } from './readOrCreateKey.js'
 import { parseCompletion } from './parseCompletion.js'
 import { readBody } from './readBody.js'
 import { type CallOptions, DEFAULT_CLIENT, readCallOptions } from './readCallOptions.js'
 import { setVerdict } from './setVerdict.js'
 
-/** What callers need of a box. */
+/** The parts of a box that serve callers. */
 export type CallerBox = Pick<Box, 'ready' | 'admission' | 'configuration' | 'lookup' | 'submit' | 'cancel' | 'createKey'>
 
 export interface CallerServerOptions {
@@ -25,14 +25,14 @@
   slowCallerMs: number
   requestReadMs: number
   connections: number
-  /** The server could not take a connection. */
+  /** Called when the server failed to accept a connection. */
   onFailed?: (error: Error) => void
 }
 
 const REQUEST_PATH = /^\/v1\/requests\/([^/]+)$/
 const NOT_READY_RETRY_AFTER_MS = 1000
 
-/** The HTTP server for callers: lookups, completions, calls to plain services, cancels. */
+/** Creates the HTTP server for callers, which serves lookups, completions, calls to plain services and cancellations. */
 export function createCallerServer (opts: CallerServerOptions): Server {
   const app = new Koa()
   app.silent = true
@@ -87,21 +87,21 @@
   const { request, stream } = parseCompletion(await readBody(ctx.req, bodyBytes), call, { configuration: box.configuration, createKey: () => box.createKey() })
   ctx.set(Header.IdempotencyKey, request.key)
   const sizeTokens = tokensOfText(request.prompt) + request.maxTokens
-  const events = box.submit(await admitted(request, { box, call, sizeTokens }), callerGone(ctx))
+  const events = box.submit(await admitRequest(request, { box, call, sizeTokens }), callerDisconnected(ctx))
   const answerOpts = { clock, slowCallerMs, model: request.model, key: request.key }
   if (stream) await answerStreamed(ctx, events, answerOpts)
-  else await answerWhole(ctx, events, answerOpts)
+  else await answerNonStreamed(ctx, events, answerOpts)
 }
 
 async function serveCall (ctx: Context, { box, bodyBytes }: CallerServerOptions): Promise<void> {
   const call = readCallOptions(ctx)
   const route = box.configuration.routeOfCall(ctx.method, ctx.path)
-  if (!route) throw new ReelspanError(ErrorCode.NoRoute, `no route takes ${ctx.method} ${ctx.path}`)
+  if (!route) throw new ReelspanError(ErrorCode.NoRoute, `no route matches ${ctx.method} ${ctx.path}`)
   const { spec } = route
   const notRepeatable = call.notRepeatable || spec.notRepeatable
   const request: ServiceRequest = {
     kind: RequestKind.Service,
-    key: keyOrCreated(call, notRepeatable, () => box.createKey()),
+    key: readOrCreateKey(call, notRepeatable, () => box.createKey()),
     route: route.name,
     client: call.client,
     notRepeatable,
@@ -112,7 +112,7 @@
     body: await readBody(ctx.req, bodyBytes),
   }
   ctx.set(Header.IdempotencyKey, request.key)
-  await answerCall(ctx, box.submit(await admitted(request, { box, call }), callerGone(ctx)))
+  await answerCall(ctx, box.submit(await admitRequest(request, { box, call }), callerDisconnected(ctx)))
 }
 
 interface AdmitOptions {
@@ -121,8 +121,11 @@
   sizeTokens?: number
 }
 
-/** The request as that of the account whose key came with it, or nobody's. Where no accounts are in use it stays the client's whom it names. */
-async function admitted<R extends CompletionRequest | ServiceRequest> (request: R, { box, call, sizeTokens }: AdmitOptions): Promise<R> {
+/**
+ * Admits a request and returns it with the client account whose key was sent as its client, or with the default client
+ * if there was no key. If no accounts are configured, the request keeps the client that it names.
+ */
+async function admitRequest<R extends CompletionRequest | ServiceRequest> (request: R, { box, call, sizeTokens }: AdmitOptions): Promise<R> {
   const { admission, configuration } = box
   if (!admission.usesAccounts) return request
   const open = configuration.route(request.route)?.open ?? false
@@ -144,18 +147,18 @@
   }
 }
 
-/** Aborted when the caller's connection closes before its answer is complete. */
-function callerGone (ctx: Context): AbortSignal {
-  const gone = new AbortController()
-  ctx.res.on('close', () => gone.abort(STOPPED))
-  return gone.signal
+/** Returns a signal that is aborted when the caller disconnects or the answer has been sent. */
+function callerDisconnected (ctx: Context): AbortSignal {
+  const disconnected = new AbortController()
+  ctx.res.on('close', () => disconnected.abort(STOPPED))
+  return disconnected.signal
 }
 
 function answerError (ctx: Context, error: ReelspanError): void {
   const { code, verdict, retryAfterMs, message, hint } = error
   const final: FinalAnswer = { kind: AnswerEventKind.Final, verdict, code, message: hint ? `${message}. ${hint}` : message, retryAfterMs, eventCount: 0 }
   setVerdict(ctx, final)
-  // What is left of an unread body would be taken for the next request.
+  // The rest of an unread body would be parsed as the next request.
   if (code === ErrorCode.BodyTooLarge) ctx.set('connection', 'close')
   ctx.body = errorBody(final)
 }
--- a/net/http-front/src/headers.ts
+++ b/net/http-front/src/headers.ts
@@ -1,11 +1,11 @@
-/** Headers of callers' requests and answers. */
+/** Headers of callers' requests and of their answers. */
 export enum Header {
   IdempotencyKey = 'idempotency-key',
-  /** The client account that the request counts for. */
+  /** The client whose usage the request counts towards. */
   Client = 'reelspan-client',
-  /** `true` marks a single request as one that may run at most once. */
+  /** `true` if the request must run at most once. */
   NotRepeatable = 'reelspan-not-repeatable',
-  /** After this many milliseconds the caller no longer wants the answer. */
+  /** The number of milliseconds after which the caller no longer needs the answer. */
   DeadlineMs = 'reelspan-deadline-ms',
   Verdict = 'reelspan-verdict',
   Code = 'reelspan-code',
--- a/net/http-front/src/parseCompletion.ts
+++ b/net/http-front/src/parseCompletion.ts
@@ -2,7 +2,7 @@
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
 import { type CompletionRequest, RequestKind } from '@reelspan/core.messages'
 import { z } from 'zod'
-import { keyOrCreated } from './keyOrCreated.js'
+import { readOrCreateKey } from './readOrCreateKey.js'
 import { type CallOptions } from './readCallOptions.js'
 
 const DEFAULT_MAX_TOKENS = 128
@@ -25,7 +25,7 @@
   stream: boolean
 }
 
-/** Reads the body of `POST /v1/completions`. Throws `ERR_REELSPAN_BAD_REQUEST` naming the field, or `ERR_REELSPAN_NO_ROUTE`. */
+/** Parses the body of `POST /v1/completions`. Throws `ERR_REELSPAN_BAD_REQUEST` with the name of the invalid field, or `ERR_REELSPAN_NO_ROUTE`. */
 export function parseCompletion (body: Uint8Array, call: CallOptions, { configuration, createKey }: ParseCompletionOptions): ParsedCompletion {
   const parsed = bodySchema.safeParse(parseJson(body))
   if (!parsed.success) {
@@ -34,14 +34,14 @@
   }
   const { model, prompt, max_tokens: maxTokens, stream, priority } = parsed.data
   const route = configuration.routeOfModel(model)
-  if (!route) throw new ReelspanError(ErrorCode.NoRoute, `no route answers for model «${model}»`)
+  if (!route) throw new ReelspanError(ErrorCode.NoRoute, `no route for model «${model}»`)
   const { spec } = route
   const notRepeatable = call.notRepeatable || spec.notRepeatable
   return {
     stream,
     request: {
       kind: RequestKind.Completion,
-      key: keyOrCreated(call, notRepeatable, createKey),
+      key: readOrCreateKey(call, notRepeatable, createKey),
       route: route.name,
       client: call.client,
       notRepeatable,
@@ -60,7 +60,7 @@
   try {
     return JSON.parse(Buffer.from(body).toString())
   } catch {
-    // Where it goes wrong would quote the body.
+    // The parser's message is left out because it quotes the body.
     throw new ReelspanError(ErrorCode.BadRequest, 'body: not JSON')
   }
 }
--- a/net/http-front/src/readBody.ts
+++ b/net/http-front/src/readBody.ts
@@ -8,7 +8,7 @@
   for await (const chunk of request as AsyncIterable<Uint8Array>) {
     readBytes += chunk.byteLength
     if (readBytes > maxBytes) {
-      throw new ReelspanError(ErrorCode.BodyTooLarge, `the body has more than ${maxBytes} bytes`, { hint: 'limits.bodyBytes sets the bound.' })
+      throw new ReelspanError(ErrorCode.BodyTooLarge, `the request body is larger than ${maxBytes} bytes`, { hint: 'The setting limits.bodyBytes is the maximum.' })
     }
     chunks.push(chunk)
   }
--- a/net/http-front/src/readCallOptions.ts
+++ b/net/http-front/src/readCallOptions.ts
@@ -3,22 +3,22 @@
 import { type Context } from 'koa'
 import { Header } from './headers.js'
 
-/** What a caller says of a request in its headers. */
+/** Options of a request that its caller sets in the headers. */
 export interface CallOptions {
-  /** Absent when the caller gave none. */
+  /** Undefined if the caller sent none. */
   key?: string
   client: string
-  /** Of the client account's key that it brought. */
+  /** The digest of the client account's key that the caller sent. */
   accountKeyDigest?: string
   notRepeatable: boolean
   deadlineMs?: number
 }
 
-/** Who asks without saying who it is. */
+/** The client of requests that name none. */
 export const DEFAULT_CLIENT = 'default'
 const CLIENT_NAME = /^[\w.@-]{1,100}$/
 
-/** Reads the headers of a request. Throws `ERR_REELSPAN_BAD_REQUEST` naming the header. */
+/** Reads the headers of a request. Throws `ERR_REELSPAN_BAD_REQUEST` with the name of the invalid header. */
 export function readCallOptions (ctx: Context): CallOptions {
   const client = ctx.get(Header.Client) || DEFAULT_CLIENT
   if (!CLIENT_NAME.test(client)) throw badHeader(Header.Client, 'expected 1 to 100 letters, digits, and . _ @ -')
@@ -31,7 +31,7 @@
   }
 }
 
-/** The key may come as a quoted string, as the draft of the `Idempotency-Key` header has it. */
+/** Removes quotes, since the `Idempotency-Key` draft defines the key as a quoted string. */
 function unquoted (text: string): string {
   return text.replace(/^"(.*)"$/, '$1')
 }
--- a/net/http-front/src/setVerdict.ts
+++ b/net/http-front/src/setVerdict.ts
@@ -6,7 +6,7 @@
 
 const MS_PER_SECOND = 1000
 
-/** Sets the status and the headers that say what became of a request. */
+/** Sets the status and headers that report the outcome of a request. */
 export function setVerdict (ctx: Context, { verdict, code, retryAfterMs }: FinalAnswer, finishedStatus = 200): void {
   ctx.status = verdict === Verdict.Finished ? finishedStatus : statusOf(code, verdict)
   ctx.set(Header.Verdict, verdict)
--- a/net/http-front/src/statusOf.ts
+++ b/net/http-front/src/statusOf.ts
@@ -20,7 +20,7 @@
 const NOT_RUN_STATUS = 503
 const MAY_HAVE_RUN_STATUS = 502
 
-/** The HTTP status of a request that did not finish. */
+/** Returns the HTTP status for a request that did not finish. */
 export function statusOf (code: ErrorCode | undefined, verdict: Verdict): number {
   const known = code && STATUS_OF_CODE[code]
   return known ?? (verdict === Verdict.NotRun ? NOT_RUN_STATUS : MAY_HAVE_RUN_STATUS)
--- a/net/http-front/test/callerServer.ts
+++ b/net/http-front/test/callerServer.ts
@@ -17,16 +17,16 @@
 
 interface ServerOptions {
   events?: AnswerEvent[]
-  over?: Partial<CallerBox>
+  boxOverrides?: Partial<CallerBox>
   slowCallerMs?: number
   bodyBytes?: number
   requestReadMs?: number
   connections?: number
 }
 
-async function startServer (t: ExecutionContext, { events = [...TOKENS, FINISHED], over, ...limits }: ServerOptions = {}) {
+async function startServer (t: ExecutionContext, { events = [...TOKENS, FINISHED], boxOverrides, ...limits }: ServerOptions = {}) {
   const requests: RoutedRequest[] = []
-  const gone: boolean[] = []
+  const disconnects: boolean[] = []
   const { configuration } = checkResources(tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
   const box: CallerBox = {
     ready: true,
@@ -37,24 +37,24 @@
     cancel: async () => {},
     submit: async function * (request, signal) {
       requests.push(request)
-      signal.addEventListener('abort', () => gone.push(true))
+      signal.addEventListener('abort', () => disconnects.push(true))
       yield * events
     },
-    ...over,
+    ...boxOverrides,
   }
   const server = createCallerServer({ clock: new SystemClock(), box, headerBytes: 16_384, bodyBytes: 10_000, slowCallerMs: 10_000, requestReadMs: 10_000, connections: 100, ...limits })
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   t.teardown(() => server.closeAllConnections())
   t.teardown(() => { server.close() })
   const { port } = server.address() as AddressInfo
-  return { url: `http://127.0.0.1:${port}`, port, requests, gone }
+  return { url: `http://127.0.0.1:${port}`, port, requests, disconnects }
 }
 
 function complete (url: string, body: object, headers: Record<string, string> = {}): Promise<Response> {
   return fetch(`${url}/v1/completions`, { method: 'POST', body: JSON.stringify(body), headers })
 }
 
-test('a completion is answered in one piece', async (t) => {
+test('a completion without `stream` is answered with one JSON body', async (t) => {
   const { url, requests } = await startServer(t)
   const response = await complete(url, { model: 'draft', prompt: 'hi', max_tokens: 5 }, { 'reelspan-client': 'bank' })
   t.is(response.status, 200)
@@ -72,7 +72,7 @@
   t.is(JSON.parse(parts[2]).reelspan.verdict, Verdict.Finished)
 })
 
-test('a refusal says that nothing ran and when to come back', async (t) => {
+test('a refused completion is answered with verdict notRun and a retry delay', async (t) => {
   const { url } = await startServer(t, { events: [REFUSED] })
   for (const stream of [true, false]) {
     const response = await complete(url, { model: 'draft', prompt: 'hi', stream })
@@ -85,13 +85,13 @@
   }
 })
 
-test('wrong input is named', async (t) => {
+test('an error names the invalid field or header', async (t) => {
   const { url, requests } = await startServer(t)
   const messageOf = async (response: Response) => (await response.json() as { error: { message: string } }).error.message
   t.regex(await messageOf(await complete(url, { model: 'draft' })), /^prompt: /)
   t.regex(await messageOf(await complete(url, { model: 'draft', prompt: 'x', max_tokens: 0 })), /^max_tokens: /)
   t.is(await messageOf(await fetch(`${url}/v1/completions`, { method: 'POST', body: '{' })), 'body: not JSON')
-  t.is(await messageOf(await complete(url, { model: 'nobody', prompt: 'x' })), 'no route answers for model «nobody»')
+  t.is(await messageOf(await complete(url, { model: 'nobody', prompt: 'x' })), 'no route for model «nobody»')
   t.is(await messageOf(await complete(url, { model: 'draft', prompt: 'x' }, { 'reelspan-deadline-ms': '5s' })), 'reelspan-deadline-ms: expected a whole number of milliseconds')
   t.is(await messageOf(await complete(url, { model: 'draft', prompt: 'x' }, { 'reelspan-not-repeatable': 'yes' })), 'reelspan-not-repeatable: expected true or false')
   t.is((await fetch(`${url}/nowhere`)).status, 404)
@@ -110,7 +110,7 @@
   t.is((await fetch(`${url}/v1/lookup`, { headers: { long: 'x'.repeat(20_000) } })).status, 431)
 })
 
-test('a call that may not be repeated gets no key made up for it', async (t) => {
+test('no key is created for a call that must not be repeated', async (t) => {
   const { url, requests } = await startServer(t, { events: [REFUSED] })
   await fetch(`${url}/desk/bookings`, { method: 'POST' })
   await fetch(`${url}/desk/other`, { method: 'POST', headers: { 'reelspan-not-repeatable': 'true' } })
@@ -118,7 +118,7 @@
   t.deepEqual(requests.map(({ key, notRepeatable }) => [key, notRepeatable]), [['none', true], ['none', true], ['made-up-key', false]])
 })
 
-test('a call to a service gets the service\'s own answer', async (t) => {
+test('a call to a service is answered with the service\'s response', async (t) => {
   const reply: AnswerEvent = { kind: AnswerEventKind.Response, status: 201, contentType: 'text/plain', body: Buffer.from('booked') }
   const { url } = await startServer(t, { events: [reply, FINISHED] })
   const response = await fetch(`${url}/desk/bookings`, { method: 'POST', headers: { 'idempotency-key': '"k"' } })
@@ -127,38 +127,38 @@
   t.is(response.headers.get('reelspan-verdict'), Verdict.Finished)
 })
 
-test('an error of a box without configuration tells when to come back', async (t) => {
-  const { url } = await startServer(t, { over: { ready: false } })
+test('a box without configuration answers 503 with a retry delay', async (t) => {
+  const { url } = await startServer(t, { boxOverrides: { ready: false } })
   const response = await fetch(`${url}/v1/lookup`)
   t.is(response.status, 503)
   t.is(response.headers.get('retry-after'), '1')
   t.is((await fetch(`${url}/healthz`)).status, 503)
 })
 
-test('a caller that goes away is noticed', async (t) => {
-  const goneSeen = withResolvers()
+test('a request is aborted when its caller disconnects', async (t) => {
+  const disconnected = withResolvers()
   const { url } = await startServer(t, {
-    over: {
+    boxOverrides: {
       submit: async function * (_, signal) {
         yield TOKENS[0]
         await new Promise<void>((resolve) => signal.addEventListener('abort', () => resolve()))
-        goneSeen.resolve()
+        disconnected.resolve()
       },
     },
   })
   const response = await complete(url, { model: 'draft', prompt: 'hi', stream: true })
   await response.body?.cancel()
-  await t.notThrowsAsync(goneSeen.promise)
+  await t.notThrowsAsync(disconnected.promise)
 })
 
-test('a caller that does not read its answer is cut off', async (t) => {
-  const cut = withResolvers()
+test('a caller that does not read its answer is disconnected', async (t) => {
+  const disconnected = withResolvers()
   const big = 'x'.repeat(100_000)
   const { port } = await startServer(t, {
     slowCallerMs: 100,
-    over: {
+    boxOverrides: {
       submit: async function * (_, signal) {
-        signal.addEventListener('abort', () => cut.resolve())
+        signal.addEventListener('abort', () => disconnected.resolve())
         for (let index = 0; !signal.aborted && index < 10_000; index++) yield { kind: AnswerEventKind.Token, index, text: big }
       },
     },
@@ -168,11 +168,11 @@
   const body = JSON.stringify({ model: 'draft', prompt: 'hi', stream: true })
   socket.write(`POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: ${body.length}\r\n\r\n${body}`)
   socket.pause()
-  await t.notThrowsAsync(cut.promise)
+  await t.notThrowsAsync(disconnected.promise)
   socket.destroy()
 })
 
-test('a caller that sends its request too slowly is cut off', async (t) => {
+test('a caller that sends its request too slowly gets status 408', async (t) => {
   const { port } = await startServer(t, { requestReadMs: 200 })
   const socket = connect(port, '127.0.0.1')
   socket.write('POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{')
@@ -184,7 +184,7 @@
   t.regex(answer, /408/)
 })
 
-test('operators off loopback must send the token', async (t) => {
+test('operators must send the configured token', async (t) => {
   const box = { describe: () => ({ self: 'x' }) } as unknown as OperatorBox
   const server = createOperatorServer({ clock: new SystemClock(), box, token: 'secret', bodyBytes: 1000 })
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
@@ -195,8 +195,8 @@
   t.deepEqual(await (await fetch(url, { headers: { authorization: 'Bearer secret' } })).json(), { self: 'x' })
 })
 
-test('an error that is thrown is answered with its verdict', async (t) => {
-  const { url } = await startServer(t, { over: { lookup: async () => { throw new ReelspanError(ErrorCode.Draining, 'stopping', { retryAfterMs: 10 }) } } })
+test('a thrown error is answered with its code and verdict', async (t) => {
+  const { url } = await startServer(t, { boxOverrides: { lookup: async () => { throw new ReelspanError(ErrorCode.Draining, 'stopping', { retryAfterMs: 10 }) } } })
   const response = await fetch(`${url}/v1/lookup`)
   t.is(response.headers.get('reelspan-code'), ErrorCode.Draining)
   t.is(response.headers.get('reelspan-verdict'), Verdict.NotRun)
@@ -208,7 +208,7 @@
   return { promise, resolve }
 }
 
-test('a server that has as many connections as it may says that it is not ready', async (t) => {
+test('a server at its connection limit reports that it is not ready', async (t) => {
   const { url, port } = await startServer(t, { connections: 10 })
   t.is((await fetch(`${url}/healthz`, { headers: { connection: 'close' } })).status, 200)
   const sockets = Array.from({ length: 9 }, () => connect(port, '127.0.0.1'))
@@ -217,7 +217,7 @@
   t.is((await fetch(`${url}/healthz`)).status, 503)
 })
 
-const bank: BoxAdmission = {
+const BANK_ADMISSION: BoxAdmission = {
   usesAccounts: true,
   isProved: true,
   admit: async ({ keyDigest: digest, sizeTokens }) => {
@@ -227,16 +227,16 @@
   },
 }
 
-test('where accounts are in use a request is that of its key, whatever client it names', async (t) => {
-  const { url, requests } = await startServer(t, { over: { admission: bank } })
+test('if accounts are configured, the account key determines a request\'s client, not the client header', async (t) => {
+  const { url, requests } = await startServer(t, { boxOverrides: { admission: BANK_ADMISSION } })
   const body = { model: 'draft', prompt: 'hi', max_tokens: 5 }
   await complete(url, body, { 'reelspan-client': 'telecom', authorization: 'Bearer k1' })
   await complete(url, body, { 'reelspan-client': 'telecom' })
   t.deepEqual(requests.map(({ client }) => client), ['bank-6', 'default'])
 })
 
-test('a key that no account has is answered with 401, and nothing runs', async (t) => {
-  const { url, requests } = await startServer(t, { over: { admission: bank } })
+test('a request with an unknown account key is answered with 401 and does not run', async (t) => {
+  const { url, requests } = await startServer(t, { boxOverrides: { admission: BANK_ADMISSION } })
   const response = await complete(url, { model: 'draft', prompt: 'hi' }, { authorization: 'Bearer k2' })
   t.is(response.status, 401)
   t.is(response.headers.get('reelspan-verdict'), Verdict.NotRun)
--- a/net/upstream-http/src/httpEngineClient.ts
+++ b/net/upstream-http/src/httpEngineClient.ts
@@ -37,12 +37,12 @@
   removedDigests: z.array(z.string()),
 })
 
-/** An engine's refusal names whether it had begun. */
+/** An engine's refusal says whether the engine had begun to run the request. */
 const refusalSchema = z.object({ error: z.string(), begun: z.boolean() })
 
 const CONNECT_TIMEOUT_MS = 1000
 
-/** Talks to engines over HTTP: JSON for calls, JSON lines for decode streams. */
+/** Calls engines over HTTP, with JSON for calls and JSON lines for decode streams. */
 export class HttpEngineClient extends EngineClient {
   readonly #agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS } })
 
@@ -99,7 +99,7 @@
       bodyTimeout: timeoutMs,
     })
     if (response.statusCode === 200) return response
-    // A body that is no refusal is told of by its status.
+    // If the body is not a refusal, the error gives the status instead.
     const refusal = refusalSchema.safeParse(await response.body.json().catch(() => undefined))
     const text = refusal.success ? refusal.data.error : `status ${response.statusCode}`
     throw new UpstreamError(`${address}: ${text}`, { mayHaveRun: !refusal.success || refusal.data.begun, refused: refusal.success })
--- a/net/upstream-http/src/httpServiceClient.ts
+++ b/net/upstream-http/src/httpServiceClient.ts
@@ -2,12 +2,12 @@
 import { Agent, request, type Dispatcher } from 'undici'
 import { toUpstreamError } from './toUpstreamError.js'
 
-/** Carries the request's key to a service, which may return it with the answer. */
+/** Carries the request's key. A service may return it with the answer. */
 export const REQUEST_KEY_HEADER = 'idempotency-key'
 
 const CONNECT_TIMEOUT_MS = 1000
 
-/** Talks to plain services over HTTP. */
+/** Calls plain services over HTTP. */
 export class HttpServiceClient extends ServiceClient {
   readonly #agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS } })
 
@@ -24,7 +24,7 @@
         bodyTimeout: timeoutMs,
       })
       return {
-        // A service that does not return the key is taken at its word: HTTP pairs the answer with the call.
+        // Without a returned key, the answer belongs to the call that HTTP paired it with.
         requestKey: String(response.headers[REQUEST_KEY_HEADER] ?? requestKey),
         status: response.statusCode,
         contentType: String(response.headers['content-type'] ?? 'application/octet-stream'),
--- a/net/upstream-http/src/readLines.ts
+++ b/net/upstream-http/src/readLines.ts
@@ -1,4 +1,4 @@
-/** Splits a stream of bytes at line feeds. What follows the last one is dropped. */
+/** Splits a stream of bytes at line feeds. An incomplete last line is dropped. */
 export async function * readLines (chunks: AsyncIterable<Uint8Array>): AsyncGenerator<string> {
   const decoder = new TextDecoder()
   let pending = ''
--- a/net/upstream-http/test/httpEngineClient.ts
+++ b/net/upstream-http/test/httpEngineClient.ts
@@ -19,7 +19,7 @@
   return { engine, address, server }
 }
 
-function client (t: ExecutionContext): HttpEngineClient {
+function createClient (t: ExecutionContext): HttpEngineClient {
   const engines = new HttpEngineClient()
   t.teardown(() => engines.close())
   return engines
@@ -28,7 +28,7 @@
 test('a prompt is prefilled on one engine and decoded on another', async (t) => {
   const prefill = await startEngine(t, EngineRole.Prefill)
   const decode = await startEngine(t, EngineRole.Decode)
-  const engines = client(t)
+  const engines = createClient(t)
   await engines.prefill(prefill.address, { label: LABEL, model: 'draft', prompt: promptFor('p', { answerTokens: 3 }), priority: 0 }, OPTS)
   t.is((await engines.report(prefill.address, OPTS)).holds.length, 1)
   const events = []
@@ -38,21 +38,21 @@
   t.deepEqual((await engines.report(prefill.address, OPTS)).holds, [])
 })
 
-test('an engine that is not there has not begun', async (t) => {
+test('a call has not run if the engine does not listen', async (t) => {
   const { address, server } = await startEngine(t, EngineRole.Prefill)
   await new Promise((resolve) => server.close(resolve))
-  const error = await t.throwsAsync<UpstreamError>(client(t).report(address, OPTS), { instanceOf: UpstreamError })
+  const error = await t.throwsAsync<UpstreamError>(createClient(t).report(address, OPTS), { instanceOf: UpstreamError })
   t.is(error?.verdict, Verdict.NotRun)
 })
 
-test('an engine\'s refusal says that it has not begun', async (t) => {
+test('a call that the engine refused before it began has not run', async (t) => {
   const { address } = await startEngine(t, EngineRole.Decode)
-  const error = await t.throwsAsync<UpstreamError>(client(t).prefill(address, { label: LABEL, model: 'draft', prompt: 'x', priority: 0 }, OPTS), { instanceOf: UpstreamError })
+  const error = await t.throwsAsync<UpstreamError>(createClient(t).prefill(address, { label: LABEL, model: 'draft', prompt: 'x', priority: 0 }, OPTS), { instanceOf: UpstreamError })
   t.true(error?.refused)
   t.is(error?.verdict, Verdict.NotRun)
 })
 
-test('a connection that breaks leaves it open whether a service ran the call', async (t) => {
+test('a call to a service may have run if the connection was lost', async (t) => {
   const service = new ServiceModel({ clock: new SystemClock(), name: 's', workMs: 5000 })
   const server = createServiceServer(service)
   const address = await listenOn(server)
