--- a/net/system-env/src/closeServers.ts
+++ b/net/system-env/src/closeServers.ts
@@ -1,13 +1,13 @@
 import { type Server } from 'node:http'
 
 /**
- * Answers under way have this long to be taken: they were complete, or given up, before
- * the servers are closed. A connection on which no whole request has come has nothing to
- * wait for; a stop that waited for its client went on until the process was killed.
+ * How long clients may take to receive the rest of their answers, all of which were completed
+ * or cancelled before the servers are closed. Connections are closed after that, since a client
+ * that never sends a complete request would delay the stop until the process is killed.
  */
-const LAST_BYTES_MS = 200
+const CLOSE_TIMEOUT_MS = 200
 
-/** Stops listening. Resolves once the answers under way are completed, or soon after. */
+/** Stops listening. Resolves once the answers in progress have been sent, or after a short timeout. */
 export async function closeServers (servers: readonly Server[]): Promise<void> {
   await Promise.all(servers.map(closeServer))
 }
@@ -15,7 +15,7 @@
 async function closeServer (server: Server): Promise<void> {
   const closed = new Promise((resolve) => server.close(resolve))
   server.closeIdleConnections()
-  const late = setTimeout(() => server.closeAllConnections(), LAST_BYTES_MS)
+  const forceCloseTimer = setTimeout(() => server.closeAllConnections(), CLOSE_TIMEOUT_MS)
   await closed
-  clearTimeout(late)
+  clearTimeout(forceCloseTimer)
 }
--- a/net/system-env/src/connectionGuard.ts
+++ b/net/system-env/src/connectionGuard.ts
@@ -3,20 +3,20 @@
 
 export interface ConnectionGuardOptions {
   maxConnections: number
-  /** The server has begun or ceased to turn new connections away, with how many it has. */
+  /** Called when the server becomes full or is no longer full, with its number of connections. */
   onFull?: (full: boolean, connections: number) => void
-  /** The server could not take a connection, for the first time since it last took one. */
+  /** Called when the server fails to accept a connection, once until it accepts one again. */
   onFailed?: (error: Error) => void
 }
 
-/** From this part of its connections on, a server closes idle ones. */
-const TIGHT_PART = 0.9
-/** From this part on it is full; what is left is for those who are on their way. */
-const FULL_PART = 0.95
-/** A caller that fell silent without a reset is probed after this time, longer than idle connections usually last, and its connection ends some ten seconds later. */
-const PROBE_AFTER_MS = 20_000
+/** The share of its maximum connections from which on a server closes idle ones. Below it, a full server is no longer full. */
+const CLOSE_IDLE_SHARE = 0.9
+/** The share from which on the server is full. The rest is for clients that are already connecting. */
+const FULL_SHARE = 0.95
+/** An unresponsive caller's connection is probed after this time, which is longer than idle connections usually last, and closed some ten seconds later. */
+const TCP_KEEP_ALIVE_DELAY_MS = 20_000
 
-/** Keeps a server within its part of the descriptors, and knows whether it takes new connections. */
+/** Keeps a server within its share of the file descriptors, and tracks whether it accepts new connections. */
 export class ConnectionGuard {
   readonly #server: Server
   readonly #opts: ConnectionGuardOptions
@@ -28,36 +28,36 @@
     this.#server = server
     this.#opts = opts
     server.maxConnections = opts.maxConnections
-    server.on('connection', (socket) => this.#take(socket))
-    server.on('error', (error) => this.#fail(error))
+    server.on('connection', (socket) => this.#onConnection(socket))
+    server.on('error', (error) => this.#onError(error))
   }
 
-  /** Whether a new connection would be taken now. */
+  /** Whether the server would accept a new connection now. */
   get takesConnections (): boolean {
     return this.#server.listening && !this.#failed && !this.#full
   }
 
-  #take (socket: Socket): void {
+  #onConnection (socket: Socket): void {
     this.#failed = false
     this.#connections++
-    socket.setKeepAlive(true, PROBE_AFTER_MS)
+    socket.setKeepAlive(true, TCP_KEEP_ALIVE_DELAY_MS)
     socket.once('close', () => {
       this.#connections--
-      this.#note()
+      this.#updateFull()
     })
-    if (this.#connections >= TIGHT_PART * this.#opts.maxConnections) this.#server.closeIdleConnections()
-    this.#note()
+    if (this.#connections >= CLOSE_IDLE_SHARE * this.#opts.maxConnections) this.#server.closeIdleConnections()
+    this.#updateFull()
   }
 
-  /** Told once, since a listener without descriptors may fail many times a second. */
-  #fail (error: Error): void {
+  /** Reports only the first failure, since a listener without free descriptors may fail many times a second. */
+  #onError (error: Error): void {
     if (!this.#failed) this.#opts.onFailed?.(error)
     this.#failed = true
   }
 
-  #note (): void {
+  #updateFull (): void {
     const { maxConnections, onFull } = this.#opts
-    const full = this.#connections >= (this.#full ? TIGHT_PART : FULL_PART) * maxConnections
+    const full = this.#connections >= (this.#full ? CLOSE_IDLE_SHARE : FULL_SHARE) * maxConnections
     if (full === this.#full) return
     this.#full = full
     onFull?.(full, this.#connections)
--- a/net/system-env/src/descriptorShares.ts
+++ b/net/system-env/src/descriptorShares.ts
@@ -1,4 +1,4 @@
-/** How many connections of each kind a process may have open. */
+/** The maximum number of open connections of each kind. */
 export interface DescriptorShares {
   callers: number
   lookups: number
@@ -6,19 +6,19 @@
   upstreams: number
 }
 
-/** Parts of a process's descriptors. What they leave is for listeners, the platform, readiness, metrics and operators. */
-const PARTS: DescriptorShares = {
-  // A caller's request takes one here and, while it runs, at most one to an upstream.
+/** Shares of a process's file descriptors. The rest is for listeners, the platform, readiness, metrics and operators. */
+const SHARES: DescriptorShares = {
+  // A request uses one connection from its caller and, while it runs, at most one to an upstream.
   callers: 0.4,
-  // Short ones, but all callers may come at once.
+  // These connections are short, but all callers may open one at the same time.
   lookups: 0.1,
-  // Both directions: a box that schedules for others is connected with all that ask it.
+  // For both directions. A box that is a scheduler is connected to all boxes that use it.
   peers: 0.25,
   upstreams: 0.2,
 }
 
-/** Divides the descriptors that a process has for connections, so that no kind can take those of another. */
+/** Divides a process's file descriptors between the kinds of connections, so that no kind can use up those of another. */
 export function descriptorShares (descriptors: number): DescriptorShares {
-  const partOf = (part: number) => Math.max(1, Math.floor(descriptors * part))
-  return { callers: partOf(PARTS.callers), lookups: partOf(PARTS.lookups), peers: partOf(PARTS.peers), upstreams: partOf(PARTS.upstreams) }
+  const countOf = (share: number) => Math.max(1, Math.floor(descriptors * share))
+  return { callers: countOf(SHARES.callers), lookups: countOf(SHARES.lookups), peers: countOf(SHARES.peers), upstreams: countOf(SHARES.upstreams) }
 }
--- a/net/system-env/src/listenAt.ts
+++ b/net/system-env/src/listenAt.ts
@@ -1,7 +1,7 @@
 import { type Server } from 'node:http'
 import { splitAddress } from './splitAddress.js'
 
-/** Listens at `ip:port`. Resolves once it does. */
+/** Starts listening at `ip:port`. Resolves once the server listens. */
 export async function listenAt (server: Server, address: string): Promise<void> {
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
--- a/net/system-env/src/splitAddress.ts
+++ b/net/system-env/src/splitAddress.ts
@@ -1,5 +1,5 @@
-/** The parts of an `ip:port`; an IPv6 number loses its brackets. */
+/** Splits an `ip:port`. Removes the brackets of an IPv6 address. */
 export function splitAddress (address: string): { host: string, port: number } {
-  const at = address.lastIndexOf(':')
-  return { host: address.slice(0, at).replace(/^\[|\]$/g, ''), port: Number(address.slice(at + 1)) }
+  const colonIndex = address.lastIndexOf(':')
+  return { host: address.slice(0, colonIndex).replace(/^\[|\]$/g, ''), port: Number(address.slice(colonIndex + 1)) }
 }
--- a/net/system-env/src/systemClock.ts
+++ b/net/system-env/src/systemClock.ts
@@ -2,58 +2,59 @@
 
 const MAX_TIMER_MS = 2 ** 31 - 1
 /**
- * A time of day that goes ahead of the steady clock by more than this between two looks was set forward, or
- * the machine was suspended. Adjustments of the time of day take half a millisecond a second at most.
+ * If the wall clock advances by this much more than the monotonic clock between two checks, it was set forward,
+ * or the machine was suspended. Gradual adjustments of the wall clock are at most half a millisecond per second.
  */
-const LEAP_MS = 150
-/** The time of day is looked at no more often than this: the clock is read many times for each request. */
-const LOOK_EVERY_MS = 1
+const CLOCK_JUMP_MS = 150
+/** The wall clock is checked no more often than this, since the clock is read many times for each request. */
+const CHECK_INTERVAL_MS = 1
 
 export interface SystemClockOptions {
-  /** A timer fired this long after it was due. */
+  /** Called with how late a timer fired. */
   onLate?: (lateMs: number) => void
-  /** Whether the machine was suspended, now that its time of day went ahead by so much; true without. */
+  /** Returns whether the machine was suspended, after its wall clock jumped ahead by `durationMs`. Every jump counts as a suspension without it. */
   wasSuspended?: (durationMs: number) => Promise<boolean>
-  /** The process's steady clock, which stands still while the machine is suspended. */
-  steadyMs?: () => number
-  /** The time of day, which does not. */
-  timeOfDayMs?: () => number
+  /** The process's monotonic clock, which stops while the machine is suspended. */
+  monotonicMs?: () => number
+  /** The wall clock, which goes on while the machine is suspended. */
+  wallClockMs?: () => number
 }
 
-/** A sleep whose timer is set anew when the time is found to have gone ahead of it. */
-interface Sleeper {
-  setTimer: () => void
+/** A sleep in progress. Its timer is reset after a suspension. */
+interface PendingSleep {
+  resetTimer: () => void
 }
 
 /**
- * The process's own monotonic clock and timers. Time for which the machine was suspended counts:
- * rights run out, deadlines pass and beliefs age meanwhile, as in a pause of the process. Node's
- * timers and steady clock leave that time out, and it cannot read the clock that has it. The time
- * of day has it, but may have been set forward; whoever else has a clock can tell the two apart.
+ * The process's monotonic clock and timers, which include the time for which the machine was
+ * suspended: leases expire, deadlines pass and cached state ages meanwhile, as in a pause of the
+ * process. Node's timers and monotonic clock leave that time out, and Node cannot read the system
+ * clock that includes it. The wall clock includes it, but may also have been set forward. Other
+ * machines' clocks can tell the two cases apart, hence the callback that confirms a suspension.
  */
 export class SystemClock extends Clock {
   readonly #opts: SystemClockOptions
-  readonly #steadyMs: () => number
-  readonly #timeOfDayMs: () => number
-  readonly #sleepers = new Set<Sleeper>()
+  readonly #monotonicMs: () => number
+  readonly #wallClockMs: () => number
+  readonly #pendingSleeps = new Set<PendingSleep>()
   #suspendedMs = 0
-  #lookedAtMs: number
-  /** How far the time of day was ahead of the steady clock then. */
-  #aheadMs: number
+  #checkedAtMs: number
+  /** The wall clock's offset from the monotonic clock at the last check. */
+  #offsetMs: number
 
   constructor (opts: SystemClockOptions = {}) {
     super()
     this.#opts = opts
-    this.#steadyMs = opts.steadyMs ?? (() => performance.now())
-    this.#timeOfDayMs = opts.timeOfDayMs ?? (() => Date.now())
-    this.#lookedAtMs = this.#steadyMs()
-    this.#aheadMs = this.#timeOfDayMs() - this.#lookedAtMs
+    this.#monotonicMs = opts.monotonicMs ?? (() => performance.now())
+    this.#wallClockMs = opts.wallClockMs ?? (() => Date.now())
+    this.#checkedAtMs = this.#monotonicMs()
+    this.#offsetMs = this.#wallClockMs() - this.#checkedAtMs
   }
 
   nowMs (): number {
-    const steadyMs = this.#steadyMs()
-    if (steadyMs - this.#lookedAtMs >= LOOK_EVERY_MS) this.#look(steadyMs)
-    return steadyMs + this.#suspendedMs
+    const monotonicMs = this.#monotonicMs()
+    if (monotonicMs - this.#checkedAtMs >= CHECK_INTERVAL_MS) this.#detectClockJump(monotonicMs)
+    return monotonicMs + this.#suspendedMs
   }
 
   sleep (durationMs: number, opts: SleepOptions = {}): Promise<void> {
@@ -64,43 +65,43 @@
       let timer: NodeJS.Timeout | undefined
       const done = () => {
         clearTimeout(timer)
-        this.#sleepers.delete(sleeper)
+        this.#pendingSleeps.delete(pendingSleep)
         signal?.removeEventListener('abort', done)
         resolve()
       }
-      const wake = () => {
+      const onTimer = () => {
         this.#opts.onLate?.(this.nowMs() - dueMs)
         done()
       }
-      const sleeper: Sleeper = {
-        setTimer: () => {
+      const pendingSleep: PendingSleep = {
+        resetTimer: () => {
           clearTimeout(timer)
-          timer = setTimeout(wake, Math.max(0, dueMs - this.nowMs()))
+          timer = setTimeout(onTimer, Math.max(0, dueMs - this.nowMs()))
         },
       }
-      this.#sleepers.add(sleeper)
-      sleeper.setTimer()
+      this.#pendingSleeps.add(pendingSleep)
+      pendingSleep.resetTimer()
       signal?.addEventListener('abort', done, { once: true })
     })
   }
 
-  /** Lets the event loop read its sockets: once to reach its poll phase, and once more for what that brought up. */
+  /** Lets the event loop read its sockets: one turn to reach the poll phase, and one more for callbacks scheduled there. */
   async settle (): Promise<void> {
     await new Promise((resolve) => setImmediate(resolve))
     await new Promise((resolve) => setImmediate(resolve))
   }
 
-  #look (steadyMs: number): void {
-    const aheadMs = this.#timeOfDayMs() - steadyMs
-    const suspendedMs = aheadMs - this.#aheadMs
-    this.#lookedAtMs = steadyMs
-    this.#aheadMs = aheadMs
-    if (suspendedMs > LEAP_MS) void this.#countIfSuspended(suspendedMs)
+  #detectClockJump (monotonicMs: number): void {
+    const offsetMs = this.#wallClockMs() - monotonicMs
+    const jumpMs = offsetMs - this.#offsetMs
+    this.#checkedAtMs = monotonicMs
+    this.#offsetMs = offsetMs
+    if (jumpMs > CLOCK_JUMP_MS) void this.#addSuspension(jumpMs)
   }
 
-  async #countIfSuspended (durationMs: number): Promise<void> {
+  async #addSuspension (durationMs: number): Promise<void> {
     if (this.#opts.wasSuspended && !await this.#opts.wasSuspended(durationMs)) return
     this.#suspendedMs += durationMs;
-    [...this.#sleepers].forEach(({ setTimer }) => setTimer())
+    [...this.#pendingSleeps].forEach(({ resetTimer }) => resetTimer())
   }
 }
--- a/net/system-env/src/systemRandom.ts
+++ b/net/system-env/src/systemRandom.ts
@@ -4,18 +4,18 @@
 const BYTES_PER_NUMBER = 6
 const POOL_BYTES = 1024 * BYTES_PER_NUMBER
 
-/** Randomness from the operating system, fetched in larger parts. */
+/** Random numbers from the operating system, fetched in batches. */
 export class SystemRandom extends Random {
   readonly #pool = Buffer.alloc(POOL_BYTES)
-  #used = POOL_BYTES
+  #usedBytes = POOL_BYTES
 
   nextFloat (): number {
-    if (this.#used >= POOL_BYTES) {
+    if (this.#usedBytes >= POOL_BYTES) {
       randomFillSync(this.#pool)
-      this.#used = 0
+      this.#usedBytes = 0
     }
-    const value = this.#pool.readUIntBE(this.#used, BYTES_PER_NUMBER)
-    this.#used += BYTES_PER_NUMBER
+    const value = this.#pool.readUIntBE(this.#usedBytes, BYTES_PER_NUMBER)
+    this.#usedBytes += BYTES_PER_NUMBER
     return value / 2 ** 48
   }
 }
--- a/net/system-env/test/closeServers.ts
+++ b/net/system-env/test/closeServers.ts
@@ -20,7 +20,7 @@
   return { server, open }
 }
 
-test('servers close soon though a client has connected and not sent a whole request', async (t) => {
+test('servers close promptly even if a client has not sent a complete request', async (t) => {
   for (const bytes of ['', 'GET / HTTP/1.1\r\nHost: a']) {
     const { server, open } = await startServer(t, (_message, response) => { response.end() })
     await open(bytes)
@@ -28,7 +28,7 @@
   }
 })
 
-test('an answer under way is completed before its server is closed', async (t) => {
+test('an answer in progress is completed before its server is closed', async (t) => {
   const { server, open } = await startServer(t, (_message, response) => {
     response.write('first ')
     setTimeout(() => response.end('last'), 50)
--- a/net/system-env/test/connectionGuard.ts
+++ b/net/system-env/test/connectionGuard.ts
@@ -6,15 +6,15 @@
 
 const MAX_CONNECTIONS = 10
 
-/** A server that answers when the test says so. */
+/** Starts a server whose answers the test triggers. */
 async function startServer (t: ExecutionContext) {
   const answers: (() => void)[] = []
-  const told: boolean[] = []
+  const fullChanges: boolean[] = []
   const failures: string[] = []
   const server = createServer((_, response: ServerResponse) => {
     answers.push(() => response.end('done'))
   })
-  const guard = new ConnectionGuard(server, { maxConnections: MAX_CONNECTIONS, onFull: (full) => told.push(full), onFailed: ({ message }) => failures.push(message) })
+  const guard = new ConnectionGuard(server, { maxConnections: MAX_CONNECTIONS, onFull: (full) => fullChanges.push(full), onFailed: ({ message }) => failures.push(message) })
   await listenAt(server, '127.0.0.1:0')
   const sockets: Socket[] = []
   t.teardown(() => {
@@ -31,7 +31,7 @@
     await arrived
     return socket
   }
-  return { server, guard, ask, answers, told, failures }
+  return { server, guard, ask, answers, fullChanges, failures }
 }
 
 async function closeOf (server: Server, socket: Socket): Promise<void> {
@@ -45,22 +45,22 @@
   return new Promise((resolve, reject) => server.getConnections((error, count) => error ? reject(error) : resolve(count)))
 }
 
-test('a server that has as many connections as it may says that it takes none, until there is room again', async (t) => {
-  const { server, guard, ask, told } = await startServer(t)
+test('a server at its connection limit reports that it accepts none until enough are closed', async (t) => {
+  const { server, guard, ask, fullChanges } = await startServer(t)
   t.true(guard.takesConnections)
   const sockets: Socket[] = []
   for (let i = 0; i < MAX_CONNECTIONS; i++) sockets.push(await ask())
   t.false(guard.takesConnections)
   await closeOf(server, sockets[0])
-  // One free place is not enough, so that it does not go to and fro.
+  // One free connection is not enough, so that the state does not flap.
   t.false(guard.takesConnections)
   await closeOf(server, sockets[1])
   await closeOf(server, sockets[2])
   while (!guard.takesConnections) await new Promise((resolve) => setImmediate(resolve))
-  t.deepEqual(told, [true, false])
+  t.deepEqual(fullChanges, [true, false])
 })
 
-test('idle connections are closed first when it gets tight', async (t) => {
+test('idle connections are closed when the connection limit is near', async (t) => {
   const { guard, ask, answers } = await startServer(t)
   const idle = await ask()
   const closed = once(idle, 'close')
@@ -73,7 +73,7 @@
   t.true(guard.takesConnections)
 })
 
-test('a listener that fails takes no connections, and does not end the process', async (t) => {
+test('a listener\'s failure does not end the process, and the server counts as not accepting until it accepts a connection again', async (t) => {
   const { server, guard, ask } = await startServer(t)
   const outOfDescriptors = Object.assign(new Error('accept EMFILE'), { code: 'EMFILE' })
   server.emit('error', outOfDescriptors)
@@ -83,7 +83,7 @@
   t.true(guard.takesConnections)
 })
 
-test('a listener that fails is told of once until it takes a connection again', async (t) => {
+test('a listener\'s failure is reported once until it accepts a connection again', async (t) => {
   const { server, ask, failures } = await startServer(t)
   const fail = () => server.emit('error', new Error('accept EMFILE'))
   fail()
@@ -94,11 +94,11 @@
   t.deepEqual(failures, ['accept EMFILE', 'accept EMFILE'])
 })
 
-test('a server that does not listen takes no connections', async (t) => {
+test('a server that does not listen accepts no connections', async (t) => {
   t.false(new ConnectionGuard(createServer(), { maxConnections: MAX_CONNECTIONS }).takesConnections)
 })
 
-test('all kinds of connections together leave some descriptors', (t) => {
+test('the shares of all kinds of connections leave some descriptors', (t) => {
   for (const descriptors of [100, 824, 3900]) {
     const { callers, lookups, peers, upstreams } = descriptorShares(descriptors)
     t.true(callers + lookups + peers + upstreams <= 0.95 * descriptors)
--- a/net/system-env/test/systemClock.ts
+++ b/net/system-env/test/systemClock.ts
@@ -3,30 +3,30 @@
 import { OrderRight } from '@reelspan/upstream.orders'
 import test from 'ava'
 
-/** A machine that can be suspended: its steady clock stands still, its time of day goes on. */
-function startMachine ({ suspends = true } = {}) {
+/** A machine that can be suspended: its monotonic clock stops while its wall clock goes on. */
+function startMachine ({ isSuspension = true } = {}) {
   const suspended: number[] = []
-  let steadyMs = 5000
-  let timeOfDayMs = 1_764_720_000_000
+  let monotonicMs = 5000
+  let wallClockMs = 1_764_720_000_000
   const pass = (durationMs: number) => {
-    steadyMs += durationMs
-    timeOfDayMs += durationMs
+    monotonicMs += durationMs
+    wallClockMs += durationMs
   }
-  const setTimeOfDay = (byMs: number) => { timeOfDayMs += byMs }
-  const wasSuspended = async (durationMs: number) => {
+  const moveWallClock = (byMs: number) => { wallClockMs += byMs }
+  const confirmSuspension = async (durationMs: number) => {
     suspended.push(durationMs)
-    return suspends
+    return isSuspension
   }
-  const clock = new SystemClock({ steadyMs: () => steadyMs, timeOfDayMs: () => timeOfDayMs, wasSuspended })
-  return { clock, suspended, pass, setTimeOfDay }
+  const clock = new SystemClock({ monotonicMs: () => monotonicMs, wallClockMs: () => wallClockMs, wasSuspended: confirmSuspension })
+  return { clock, suspended, pass, moveWallClock }
 }
 
-test('time for which the machine was suspended counts', async (t) => {
-  const { clock, suspended, pass, setTimeOfDay } = startMachine()
+test('the clock includes time for which the machine was suspended', async (t) => {
+  const { clock, suspended, pass, moveWallClock } = startMachine()
   const fromMs = clock.nowMs()
   pass(1000)
   t.is(clock.nowMs() - fromMs, 1000)
-  setTimeOfDay(4000)
+  moveWallClock(4000)
   pass(2)
   clock.nowMs()
   await clock.settle()
@@ -36,15 +36,15 @@
   t.deepEqual(suspended, [4000])
 })
 
-test('a time of day that is set back, or adjusted little by little, changes nothing', (t) => {
-  const { clock, suspended, pass, setTimeOfDay } = startMachine()
+test('a wall clock that is set back or adjusted gradually does not change the clock', (t) => {
+  const { clock, suspended, pass, moveWallClock } = startMachine()
   const fromMs = clock.nowMs()
   pass(10)
-  setTimeOfDay(-3000)
+  moveWallClock(-3000)
   pass(10)
   t.is(clock.nowMs() - fromMs, 20)
   for (let i = 0; i < 100; i++) {
-    setTimeOfDay(5)
+    moveWallClock(5)
     pass(1000)
     clock.nowMs()
   }
@@ -52,10 +52,10 @@
   t.deepEqual(suspended, [])
 })
 
-test('a time of day that was set forward, while the machine went on, changes nothing', async (t) => {
-  const { clock, suspended, pass, setTimeOfDay } = startMachine({ suspends: false })
+test('a wall clock that is set forward without a suspension does not change the clock', async (t) => {
+  const { clock, suspended, pass, moveWallClock } = startMachine({ isSuspension: false })
   const fromMs = clock.nowMs()
-  setTimeOfDay(4000)
+  moveWallClock(4000)
   pass(2)
   clock.nowMs()
   await clock.settle()
@@ -63,13 +63,13 @@
   t.deepEqual(suspended, [4000])
 })
 
-test('a sleep that was due while the machine was suspended ends soon after, and one that was not goes on for the rest', async (t) => {
-  const { clock, pass, setTimeOfDay } = startMachine()
+test('a sleep that became due during a suspension ends right after it, and a longer one continues', async (t) => {
+  const { clock, pass, moveWallClock } = startMachine()
   const ended: string[] = []
   const long = new AbortController()
   const due = clock.sleep(3000).then(() => ended.push('due'))
   const later = clock.sleep(60_000, { signal: long.signal }).then(() => ended.push('later'))
-  setTimeOfDay(4000)
+  moveWallClock(4000)
   pass(2)
   clock.nowMs()
   await due
@@ -78,20 +78,20 @@
   await later
 })
 
-test('a right to give orders that ran out while the machine was suspended is lost at once', async (t) => {
-  const { clock, pass, setTimeOfDay } = startMachine()
+test('an order lease that expired during a suspension is invalid right after it', async (t) => {
+  const { clock, pass, moveWallClock } = startMachine()
   let contactMs = clock.nowMs()
-  const right = new OrderRight({ clock, lifeMs: 2000, lastContactMs: () => contactMs, pauses: new PauseWatch({ clock }) })
-  right.take()
+  const lease = new OrderRight({ clock, lifeMs: 2000, lastContactMs: () => contactMs, pauses: new PauseWatch({ clock }) })
+  lease.take()
   for (let i = 0; i < 50; i++) {
     pass(100)
     contactMs = clock.nowMs()
-    right.holds()
+    lease.holds()
   }
-  t.true(right.holds())
-  setTimeOfDay(3000)
+  t.true(lease.holds())
+  moveWallClock(3000)
   pass(2)
   clock.nowMs()
   await clock.settle()
-  t.false(right.holds())
+  t.false(lease.holds())
 })
--- a/telemetry/log/src/boundedLineStream.ts
+++ b/telemetry/log/src/boundedLineStream.ts
@@ -1,75 +1,75 @@
 import { write } from 'node:fs'
 import { LogEvent } from './log.js'
-import { RateLimit } from './rateLimit.js'
+import { RateLimiter } from './rateLimiter.js'
 
 export interface BoundedLineStreamOptions {
-  /** File descriptor that lines go to. */
+  /** The file descriptor to write to. */
   fileDescriptor: number
-  /** Milliseconds on a steady clock. */
+  /** Milliseconds on a monotonic clock. */
   nowMs: () => number
-  /** Lines that may wait to be written, in bytes. */
-  maxWaitingBytes?: number
+  /** The maximum size of the queued lines. */
+  maxQueuedBytes?: number
   maxLinesPerSecond?: number
 }
 
-/** What waits may grow to this while the reader is slow: some seconds of a busy box. */
-const MAX_WAITING_BYTES = 262_144
-/** Ten times what a box logs at the highest load that was measured. */
+/** The log of some seconds of a busy box, which is queued while the reader is slow. */
+const MAX_QUEUED_BYTES = 262_144
+/** Ten times the log rate of a box under full load. */
 const MAX_LINES_PER_SECOND = 500
-/** A full pipe is tried again after this time. */
-const FULL_RETRY_MS = 20
+/** The delay before writing to a full pipe again. */
+const FULL_PIPE_RETRY_MS = 20
 
-/** Writes lines without ever holding up the process: what is too much is dropped and counted. */
+/** Writes lines without ever blocking the process. Drops and counts lines above the rate or the queue size. */
 export class BoundedLineStream {
   readonly #opts: BoundedLineStreamOptions
-  readonly #rate: RateLimit
-  #waiting: string[] = []
-  #waitingBytes = 0
+  readonly #rateLimiter: RateLimiter
+  #queue: string[] = []
+  #queuedBytes = 0
   #writing = false
-  #dropped = 0
-  #toldDropped = 0
+  #unreportedDrops = 0
+  #reportedDrops = 0
 
   constructor (opts: BoundedLineStreamOptions) {
     this.#opts = opts
-    this.#rate = new RateLimit({ nowMs: opts.nowMs, perSecond: opts.maxLinesPerSecond ?? MAX_LINES_PER_SECOND })
+    this.#rateLimiter = new RateLimiter({ nowMs: opts.nowMs, perSecond: opts.maxLinesPerSecond ?? MAX_LINES_PER_SECOND })
   }
 
-  /** Lines dropped and not yet told of. */
-  get dropped (): number {
-    return this.#dropped
+  /** Lines dropped since the last `linesDropped` event. */
+  get unreportedDrops (): number {
+    return this.#unreportedDrops
   }
 
-  /** Lines dropped so far. */
-  get droppedInAll (): number {
-    return this.#dropped + this.#toldDropped
+  /** All lines dropped so far. */
+  get totalDrops (): number {
+    return this.#unreportedDrops + this.#reportedDrops
   }
 
   write (line: string): void {
-    const { maxWaitingBytes = MAX_WAITING_BYTES } = this.#opts
-    if (!this.#rate.take() || this.#waitingBytes + line.length > maxWaitingBytes) {
-      this.#dropped++
+    const { maxQueuedBytes = MAX_QUEUED_BYTES } = this.#opts
+    if (!this.#rateLimiter.take() || this.#queuedBytes + line.length > maxQueuedBytes) {
+      this.#unreportedDrops++
       return
     }
-    if (this.#dropped > 0) this.#tellDropped()
-    this.#add(line)
-    this.#pump()
+    if (this.#unreportedDrops > 0) this.#reportDrops()
+    this.#enqueue(line)
+    this.#flush()
   }
 
-  #tellDropped (): void {
-    this.#add(`${JSON.stringify({ event: LogEvent.LinesDropped, lines: this.#dropped })}\n`)
-    this.#toldDropped += this.#dropped
-    this.#dropped = 0
+  #reportDrops (): void {
+    this.#enqueue(`${JSON.stringify({ event: LogEvent.LinesDropped, lines: this.#unreportedDrops })}\n`)
+    this.#reportedDrops += this.#unreportedDrops
+    this.#unreportedDrops = 0
   }
 
-  #add (line: string): void {
-    this.#waiting.push(line)
-    this.#waitingBytes += line.length
+  #enqueue (line: string): void {
+    this.#queue.push(line)
+    this.#queuedBytes += line.length
   }
 
-  #pump (): void {
-    if (this.#writing || this.#waiting.length === 0) return
-    const bytes = Buffer.from(this.#waiting.join(''))
-    this.#waiting = []
+  #flush (): void {
+    if (this.#writing || this.#queue.length === 0) return
+    const bytes = Buffer.from(this.#queue.join(''))
+    this.#queue = []
     this.#writing = true
     this.#writeAll(bytes)
   }
@@ -77,16 +77,16 @@
   #writeAll (bytes: Buffer): void {
     write(this.#opts.fileDescriptor, bytes, (error, written) => {
       if (error?.code === 'EAGAIN') {
-        setTimeout(() => this.#writeAll(bytes), FULL_RETRY_MS).unref()
+        setTimeout(() => this.#writeAll(bytes), FULL_PIPE_RETRY_MS).unref()
         return
       }
       const rest = error ? Buffer.alloc(0) : bytes.subarray(written)
-      // A reader that is gone leaves nothing to write to: what is lost is counted.
-      if (error) this.#dropped++
+      // The reader has closed the pipe: the lost batch is counted as one dropped line.
+      if (error) this.#unreportedDrops++
       if (rest.length > 0) return this.#writeAll(rest)
-      this.#waitingBytes = this.#waiting.reduce((sum, line) => sum + line.length, 0)
+      this.#queuedBytes = this.#queue.reduce((sum, line) => sum + line.length, 0)
       this.#writing = false
-      this.#pump()
+      this.#flush()
     })
   }
 }
--- a/telemetry/log/src/bunyanLog.ts
+++ b/telemetry/log/src/bunyanLog.ts
@@ -17,13 +17,13 @@
   constructor (opts: BunyanLogOptions) {
     super()
     this.#lines = new BoundedLineStream({ fileDescriptor: STANDARD_OUTPUT, nowMs: () => performance.now() })
-    // All that bunyan asks of a stream is that lines can be written to it.
+    // Bunyan only calls `write` on a stream.
     const stream = this.#lines as unknown as NodeJS.WritableStream
     this.#logger = bunyan.createLogger({ name: 'reelspan', box: opts.box, level: opts.level, stream })
   }
 
   override get droppedLines (): number {
-    return this.#lines.droppedInAll
+    return this.#lines.totalDrops
   }
 
   info (event: LogEvent, fields: LogFields = {}): void {
--- a/telemetry/log/src/log.ts
+++ b/telemetry/log/src/log.ts
@@ -1,4 +1,4 @@
-/** Everything that reelspan logs. The operator's page explains each. */
+/** All log events of reelspan. The operator's page explains each one. */
 export enum LogEvent {
   Started = 'started',
   Stopping = 'stopping',
@@ -12,7 +12,7 @@
   SchedulerLeft = 'schedulerLeft',
   HoldReleased = 'holdReleased',
   OrderSent = 'orderSent',
-  /** Which roles engines should have, when that changes. */
+  /** The planned roles of engines have changed. */
   RolesPlanned = 'rolesPlanned',
   RecordsTaken = 'recordsTaken',
   HandoffFailed = 'handoffFailed',
@@ -20,17 +20,17 @@
   ReloadFailed = 'reloadFailed',
   DependencyLost = 'dependencyLost',
   DependencyRegained = 'dependencyRegained',
-  /** A connection to another box brought nothing any more, while a new one works. */
+  /** A connection to another box became unresponsive, while a new one works. */
   ConnectionSilent = 'connectionSilent',
-  /** A server has as many connections as it may, or has room again. */
+  /** A server has reached its connection limit, or accepts connections again. */
   ConnectionsFull = 'connectionsFull',
-  /** A server could not take a connection. */
+  /** A server failed to accept a connection. */
   ListenerFailed = 'listenerFailed',
-  /** The platform's store came back from an older copy. */
+  /** The platform's store was restored from an older copy. */
   PlatformRestored = 'platformRestored',
-  /** The header that tells how often the store came back cannot be read, or is missing. */
+  /** The header with the store's era, which counts its restores, cannot be parsed or is missing. */
   PlatformEraUnreadable = 'platformEraUnreadable',
-  /** An answer of the platform's store was dropped, since it is older than what is known. */
+  /** An answer of the platform's store was dropped, since it is older than the known state. */
   PlatformReadDropped = 'platformReadDropped',
   EntriesKept = 'entriesKept',
   UpstreamsChanged = 'upstreamsChanged',
@@ -38,25 +38,25 @@
   AdmissionDecided = 'admissionDecided',
   /** A request was refused for its client account's key or limit. */
   AccountRefused = 'accountRefused',
-  /** This box has, or no longer has, proof that its configuration is new enough for keyed requests. */
+  /** This box has obtained or lost the freshness proof of its configuration, which keyed requests require. */
   AccountsProofChanged = 'accountsProofChanged',
   RequestPlaced = 'requestPlaced',
   RequestSent = 'requestSent',
   RequestRetried = 'requestRetried',
   HandleLeft = 'handleLeft',
-  /** An upstream's answer to a request broke off, and what was then found at its address. */
+  /** An upstream's answer to a request was interrupted. Includes the result of probing its address. */
   RunBrokeOff = 'runBrokeOff',
-  /** A request is not run any more, since it ended the upstreams that ran it, or may run again. */
+  /** A request was quarantined because the upstreams that ran it exited, or was released from quarantine. */
   QuarantineChanged = 'quarantineChanged',
-  /** An upstream names a limit, another one or none any more. */
+  /** The rate limit that an upstream advertises has been set, changed or removed. */
   UpstreamLimitChanged = 'upstreamLimitChanged',
-  /** A request did not go to upstreams that have got as many as they take for now. */
+  /** A request skipped upstreams whose rate limit is exhausted. */
   UpstreamsAtLimit = 'upstreamsAtLimit',
-  /** A request did not go to upstreams that asked this box to wait. */
+  /** A request skipped upstreams that asked this box to back off. */
   UpstreamsBackingOff = 'upstreamsBackingOff',
   /** An upstream advertises that it is draining. */
   UpstreamDraining = 'upstreamDraining',
-  /** An upstream refused a request and asked this box to wait. */
+  /** An upstream refused a request and asked this box to back off. */
   UpstreamBackoff = 'upstreamBackoff',
   /** A value that an upstream advertises cannot be parsed. */
   UpstreamSignalUnreadable = 'upstreamSignalUnreadable',
@@ -67,16 +67,16 @@
   EngineCallFailed = 'engineCallFailed',
   PeerCallFailed = 'peerCallFailed',
   TaskFailed = 'taskFailed',
-  /** The time of day went ahead of the steady clock: the machine was suspended, or the time was set. */
+  /** The wall clock jumped ahead of the monotonic clock: the machine was suspended, or the time was set. */
   ClockLeapt = 'clockLeapt',
   LinesDropped = 'linesDropped',
 }
 
 export type LogFields = Readonly<Record<string, string | number | boolean | readonly string[] | undefined>>
 
-/** Where log events go. Prompts, tokens and bodies are never among the fields. */
+/** Receives log events. Their fields never contain prompts, tokens or bodies. */
 export abstract class Log {
-  /** Lines that were dropped so far because nobody took them in time. */
+  /** Lines dropped so far because they were not read in time. */
   get droppedLines (): number {
     return 0
   }
--- a/telemetry/log/test/boundedLineStream.ts
+++ b/telemetry/log/test/boundedLineStream.ts
@@ -23,33 +23,33 @@
   t.is(read(), '0\n1\n2\n3\n4\n')
 })
 
-test('lines over the rate are dropped, and told of in the next second', async (t) => {
+test('lines over the rate are dropped, and their number is logged in the next second', async (t) => {
   const { fileDescriptor, read } = createFile(t)
   let nowMs = 0
   const stream = new BoundedLineStream({ fileDescriptor, nowMs: () => nowMs, maxLinesPerSecond: 2 })
   for (let i = 0; i < 5; i++) stream.write(`${i}\n`)
-  t.is(stream.dropped, 3)
+  t.is(stream.unreportedDrops, 3)
   nowMs = 1000
   stream.write('later\n')
   await until(() => read().endsWith('later\n'))
   t.is(read(), '0\n1\n{"event":"linesDropped","lines":3}\nlater\n')
-  t.is(stream.droppedInAll, 3)
+  t.is(stream.totalDrops, 3)
 })
 
-test('a reader that takes nothing makes lines drop and holds nothing up', (t) => {
+test('lines beyond the queue size are dropped', (t) => {
   const { fileDescriptor } = createFile(t)
-  const stream = new BoundedLineStream({ fileDescriptor, nowMs: () => 0, maxWaitingBytes: 10 })
+  const stream = new BoundedLineStream({ fileDescriptor, nowMs: () => 0, maxQueuedBytes: 10 })
   stream.write('12345\n')
   stream.write('12345\n')
   stream.write('12345\n')
-  t.true(stream.dropped > 0)
+  t.true(stream.unreportedDrops > 0)
 })
 
-test('a reader that is gone is not written to for ever', async (t) => {
-  // Nothing can be written to it, as to one that is closed; but its number stays its own, while tests beside this one open files.
+test('lines that cannot be written are counted as dropped', async (t) => {
+  // A read-only descriptor fails like a closed one, but its number is not reused by other tests that open files.
   const { fileDescriptor } = createFile(t, constants.O_CREAT | constants.O_RDONLY)
   const stream = new BoundedLineStream({ fileDescriptor, nowMs: () => 0 })
   stream.write('lost\n')
-  await until(() => stream.dropped > 0)
-  t.is(stream.dropped, 1)
+  await until(() => stream.unreportedDrops > 0)
+  t.is(stream.unreportedDrops, 1)
 })
--- a/telemetry/log/test/operatorsPage.ts
+++ b/telemetry/log/test/operatorsPage.ts
@@ -5,6 +5,6 @@
 
 const PAGE = readFileSync(join(import.meta.dirname, '../../../docs/OPERATIONS.md'), 'utf8')
 
-test('the operators\' page explains each event', (t) => {
+test('the operator\'s page explains each log event', (t) => {
   t.deepEqual(Object.values(LogEvent).filter((event) => !PAGE.includes(`\`${event}\``)), [])
 })
--- a/telemetry/metrics/src/metrics.ts
+++ b/telemetry/metrics/src/metrics.ts
@@ -2,10 +2,10 @@
 
 export type Labels = Readonly<Record<string, string>>
 
-const QUANTILES = [50, 90, 95, 99]
-const HIGHEST_MS = 3_600_000
+const PERCENTILES = [50, 90, 95, 99]
+const MAX_DURATION_MS = 3_600_000
 
-/** One value of a metric; without a value, it is not known at the moment. */
+/** One value of a metric. `value` is undefined while it is unknown. */
 export interface LabelledValue {
   labels: Labels
   value: number | undefined
@@ -30,12 +30,12 @@
     this.#counters.set(key, series)
   }
 
-  /** Registers a value that is read when the metrics are. */
+  /** Registers a gauge. Its value is read on each exposition. */
   gauge (name: string, read: () => number): void {
     this.gauges(name, () => [{ labels: {}, value: read() }])
   }
 
-  /** Registers values that are read when the metrics are. */
+  /** Registers a gauge with several series. Their values are read on each exposition. */
   gauges (name: string, read: () => readonly LabelledValue[]): void {
     this.#gauges.set(name, read)
   }
@@ -43,23 +43,23 @@
   /** Records a duration in a histogram. */
   recordMs (name: string, valueMs: number, labels: Labels = {}): void {
     const key = seriesKey(name, labels)
-    const series = this.#histograms.get(key) ?? { name, labels, value: build({ lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_MS, numberOfSignificantValueDigits: 3, useWebAssembly: false }) }
-    series.value.recordValue(Math.min(HIGHEST_MS, Math.max(0, Math.round(valueMs))))
+    const series = this.#histograms.get(key) ?? { name, labels, value: build({ lowestDiscernibleValue: 1, highestTrackableValue: MAX_DURATION_MS, numberOfSignificantValueDigits: 3, useWebAssembly: false }) }
+    series.value.recordValue(Math.min(MAX_DURATION_MS, Math.max(0, Math.round(valueMs))))
     this.#histograms.set(key, series)
   }
 
-  /** A quantile of a histogram over all its labels, or nothing when it is empty. */
-  quantileMs (name: string, percentile: number): number | undefined {
+  /** Returns a percentile of a histogram over all its labels, or undefined if it has no values. */
+  percentileMs (name: string, percentile: number): number | undefined {
     const parts = [...this.#histograms.values()].filter((series) => series.name === name)
     if (parts.length === 0) return undefined
-    const sum = build({ lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_MS, numberOfSignificantValueDigits: 3, useWebAssembly: false })
+    const sum = build({ lowestDiscernibleValue: 1, highestTrackableValue: MAX_DURATION_MS, numberOfSignificantValueDigits: 3, useWebAssembly: false })
     parts.forEach(({ value }) => sum.add(value))
     return sum.getValueAtPercentile(percentile)
   }
 
-  /** The usual text exposition format. */
+  /** Returns all metrics in the Prometheus text exposition format. */
   exposition (): string {
-    const counters = grouped([...this.#counters.values()]).flatMap(([name, series]) => [
+    const counters = groupByName([...this.#counters.values()]).flatMap(([name, series]) => [
       `# TYPE ${name} counter`,
       ...series.map(({ labels, value }) => `${name}${labelText(labels)} ${value}`),
     ])
@@ -67,10 +67,10 @@
       `# TYPE ${name} gauge`,
       ...read().filter(({ value }) => value !== undefined).map(({ labels, value }) => `${name}${labelText(labels)} ${value}`),
     ])
-    const histograms = grouped([...this.#histograms.values()]).flatMap(([name, series]) => [
+    const histograms = groupByName([...this.#histograms.values()]).flatMap(([name, series]) => [
       `# TYPE ${name} summary`,
       ...series.flatMap(({ labels, value }) => [
-        ...QUANTILES.map((percent) => `${name}${labelText({ ...labels, quantile: String(percent / 100) })} ${value.getValueAtPercentile(percent)}`),
+        ...PERCENTILES.map((percent) => `${name}${labelText({ ...labels, quantile: String(percent / 100) })} ${value.getValueAtPercentile(percent)}`),
         `${name}_count${labelText(labels)} ${value.totalCount}`,
       ]),
     ])
@@ -78,7 +78,7 @@
   }
 }
 
-function grouped<T> (series: readonly Series<T>[]): [string, Series<T>[]][] {
+function groupByName<T> (series: readonly Series<T>[]): [string, Series<T>[]][] {
   const names = [...new Set(series.map(({ name }) => name))]
   return names.map((name) => [name, series.filter((one) => one.name === name)])
 }
--- a/telemetry/metrics/test/gauges.ts
+++ b/telemetry/metrics/test/gauges.ts
@@ -1,7 +1,7 @@
 import { Metrics } from '@reelspan/telemetry.metrics'
 import test from 'ava'
 
-test('a gauge of several series is read when the metrics are, under one type line', (t) => {
+test('a gauge with several series is read on exposition and has one type line', (t) => {
   const metrics = new Metrics()
   const left = new Map([['drafts', 3]])
   metrics.gauges('budget_left', () => [...left].map(([pool, value]) => ({ labels: { pool }, value })))
@@ -13,7 +13,7 @@
   ])
 })
 
-test('a value that is not known is left out', (t) => {
+test('an unknown value is left out', (t) => {
   const metrics = new Metrics()
   metrics.gauges('age_ms', () => [{ labels: { belief: 'a' }, value: undefined }, { labels: { belief: 'b' }, value: 2 }])
   t.deepEqual(metrics.exposition().split('\n').filter((line) => line.startsWith('age_ms')), ['age_ms{belief="b"} 2'])
--- a/telemetry/metrics/test/metrics.ts
+++ b/telemetry/metrics/test/metrics.ts
@@ -1,7 +1,7 @@
 import { Metrics } from '@reelspan/telemetry.metrics'
 import test from 'ava'
 
-test('metrics are told in the text exposition format', (t) => {
+test('metrics are returned in the text exposition format', (t) => {
   const metrics = new Metrics()
   metrics.count('requests_total', { verdict: 'finished' })
   metrics.count('requests_total', { verdict: 'finished' }, 2)
@@ -15,10 +15,10 @@
   t.true(lines.includes('ttft_ms_count{route="drafts"} 1'))
 })
 
-test('a quantile is taken over all labels', (t) => {
+test('a percentile covers all labels', (t) => {
   const metrics = new Metrics()
-  t.is(metrics.quantileMs('x', 50), undefined)
+  t.is(metrics.percentileMs('x', 50), undefined)
   metrics.recordMs('x', 10, { a: '1' })
   metrics.recordMs('x', 30, { a: '2' })
-  t.is(metrics.quantileMs('x', 99), 30)
+  t.is(metrics.percentileMs('x', 99), 30)
 })
