--- a/net/http-exchange/test/cancellation.ts
+++ b/net/http-exchange/test/cancellation.ts
@@ -52,7 +52,7 @@
   await clock.settle()
 }
 
-async function until (condition: () => boolean): Promise<void> {
+async function waitUntil (condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise((resolve) => setImmediate(resolve))
 }
 
@@ -71,7 +71,7 @@
   // Connections are accepted in order, so the first one has been accepted once this one has.
   const next = pool.exchange(address, GET, { signal: new AbortController().signal })
   next.catch(() => {})
-  await until(() => accepted.some(({ bytes }) => bytes > 0))
+  await waitUntil(() => accepted.some(({ bytes }) => bytes > 0))
   t.is(accepted.filter(({ bytes }) => bytes > 0).length, 1)
   t.true((await Promise.all(accepted.filter(({ bytes }) => bytes === 0).map(closesInTime))).every(Boolean))
   server.close()
@@ -82,7 +82,7 @@
   const stop = new AbortController()
   let sent = false
   const exchange = pool.exchange(address, GET, { signal: stop.signal, onSend: () => { sent = true } })
-  await until(() => accepted.length > 0)
+  await waitUntil(() => accepted.length > 0)
   stop.abort()
   const error = await t.throwsAsync(exchange, { instanceOf: ExchangeError })
   t.is(verdictOf(error), sent ? Verdict.MayHaveRun : Verdict.NotRun)
@@ -94,7 +94,7 @@
   const { address, accepted, pool } = await startUpstream(t, (socket) => socket.pause())
   const stop = new AbortController()
   const exchange = pool.exchange(address, { ...GET, method: 'POST', body: new Uint8Array(BEYOND_SOCKET_BUFFERS_BYTES) }, { signal: stop.signal })
-  await until(() => accepted.length > 0)
+  await waitUntil(() => accepted.length > 0)
   stop.abort()
   t.is(verdictOf(await t.throwsAsync(exchange, { instanceOf: ExchangeError })), Verdict.MayHaveRun)
   accepted[0].socket.resume()
@@ -106,7 +106,7 @@
   const { address, accepted, pool } = await startUpstream(t)
   const stop = new AbortController()
   const exchange = pool.exchange(address, GET, { signal: stop.signal })
-  await until(() => accepted.length > 0 && accepted[0].bytes > 0)
+  await waitUntil(() => accepted.length > 0 && accepted[0].bytes > 0)
   stop.abort()
   t.is(verdictOf(await t.throwsAsync(exchange, { instanceOf: ExchangeError })), Verdict.MayHaveRun)
   t.true(await closesInTime(accepted[0]))
--- a/net/peer-link/src/wsPeerLink.ts
+++ b/net/peer-link/src/wsPeerLink.ts
@@ -150,7 +150,7 @@
   }
 
   #connect (address: string): OutgoingConnection {
-    const { clock, maxMessageBytes, idleCloseMs, onSilentConnection } = this.#opts
+    const { clock, maxMessageBytes, idleCloseMs, onSilentConnection: onUnresponsiveConnection } = this.#opts
     const connection: OutgoingConnection = new OutgoingConnection({
       clock,
       address,
@@ -164,7 +164,7 @@
       openReplacement: () => this.#connect(address),
       onUnresponsive: (replacement, idleSinceMs) => {
         this.#outgoingByAddress.set(address, replacement)
-        onSilentConnection?.(address, idleSinceMs)
+        onUnresponsiveConnection?.(address, idleSinceMs)
       },
     })
     this.#outgoing.add(connection)
--- a/net/peer-link/test/silentConnections.ts
+++ b/net/peer-link/test/silentConnections.ts
@@ -7,9 +7,9 @@
 import test, { type ExecutionContext } from 'ava'
 
 const DONE: PeerMessage = { type: MessageType.Done }
-const QUESTION: PeerMessage = { type: MessageType.Cancel, key: 'k' }
+const REQUEST: PeerMessage = { type: MessageType.Cancel, key: 'k' }
 /** Much longer than the tested bound. */
-const LONG = { timeoutMs: 60_000 }
+const LONG_TIMEOUT = { timeoutMs: 60_000 }
 /** Updates must reach all boxes within two seconds. The link's own bound is 0.25 s; the rest is margin for a busy machine. */
 const MAX_DETECTION_MS = 2000
 
@@ -33,7 +33,7 @@
   await proxy.start()
   t.teardown(() => proxy.stop())
   const { link } = await createLink()
-  await link.call(proxy.address, DONE, LONG)
+  await link.call(proxy.address, DONE, LONG_TIMEOUT)
   return { link, proxy, peer: peer.link, arrived }
 }
 
@@ -53,9 +53,9 @@
     const { link, proxy, arrived } = await connectThrough(t)
     proxy.silenceOpen(direction)
     const startMs = performance.now()
-    const error = await t.throwsAsync(link.call(proxy.address, QUESTION, LONG), { instanceOf: PeerLinkError })
+    const error = await t.throwsAsync(link.call(proxy.address, REQUEST, LONG_TIMEOUT), { instanceOf: PeerLinkError })
     t.true((error as PeerLinkError).mayHaveArrived)
-    t.deepEqual(await link.call(proxy.address, DONE, LONG), DONE)
+    t.deepEqual(await link.call(proxy.address, DONE, LONG_TIMEOUT), DONE)
     t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
     // No request was sent twice.
     t.is(arrived.filter(({ type }) => type === MessageType.Cancel).length, direction === Silence.ToClient ? 1 : 0)
@@ -63,7 +63,7 @@
 
   test(`a stream on an unresponsive connection (${direction}) fails quickly`, async (t) => {
     const { link, proxy } = await connectThrough(t, { onStream: async function * () { yield DONE; await new Promise(() => {}) } })
-    const parts = link.stream(proxy.address, QUESTION, LONG)[Symbol.asyncIterator]()
+    const parts = link.stream(proxy.address, REQUEST, LONG_TIMEOUT)[Symbol.asyncIterator]()
     await parts.next()
     proxy.silenceOpen(direction)
     const startMs = performance.now()
@@ -76,7 +76,7 @@
 test('a call with a slow answer does not fail while the peer answers pings', async (t) => {
   let answer: (message: PeerMessage) => void = () => {}
   const { link, proxy } = await connectThrough(t, { onCall: async ({ type }) => type === MessageType.Cancel ? new Promise((resolve) => { answer = resolve }) : DONE })
-  const waiting = link.call(proxy.address, QUESTION, LONG)
+  const waiting = link.call(proxy.address, REQUEST, LONG_TIMEOUT)
   // The connection is pinged several times meanwhile.
   await new SystemClock().sleep(600)
   answer(DONE)
@@ -87,7 +87,7 @@
 test('a call waits for a peer that is unresponsive on new connections as well', async (t) => {
   const { link, proxy } = await connectThrough(t)
   proxy.fault = PathFault.Silent
-  const waiting = link.call(proxy.address, QUESTION, LONG)
+  const waiting = link.call(proxy.address, REQUEST, LONG_TIMEOUT)
   await new SystemClock().sleep(1000)
   proxy.fault = PathFault.None
   t.deepEqual(await waiting, DONE)
@@ -97,7 +97,7 @@
   const { link, proxy, arrived } = await connectThrough(t)
   proxy.silenceOpen(Silence.ToClient)
   const startMs = performance.now()
-  t.deepEqual(await link.call(proxy.address, QUESTION, { ...LONG, repeatable: true }), DONE)
+  t.deepEqual(await link.call(proxy.address, REQUEST, { ...LONG_TIMEOUT, repeatable: true }), DONE)
   t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
   t.is(arrived.filter(({ type }) => type === MessageType.Cancel).length, 2)
 })
@@ -106,7 +106,7 @@
   const { link, proxy } = await connectThrough(t)
   proxy.fault = PathFault.Silent
   const startMs = performance.now()
-  const error = await t.throwsAsync(link.call(proxy.address, QUESTION, { ...LONG, endIfSilent: true }), { instanceOf: PeerLinkError })
+  const error = await t.throwsAsync(link.call(proxy.address, REQUEST, { ...LONG_TIMEOUT, endIfSilent: true }), { instanceOf: PeerLinkError })
   t.true((error as PeerLinkError).mayHaveArrived)
   t.false((error as PeerLinkError).silent)
   t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
@@ -123,10 +123,10 @@
     onSilentConnection: (address, sinceMs) => reported.push({ address, sinceMs }),
   })
   t.teardown(() => link.close())
-  await link.call(peer.proxy.address, DONE, LONG)
+  await link.call(peer.proxy.address, DONE, LONG_TIMEOUT)
   const startMs = performance.now()
   peer.proxy.silenceOpen(Silence.BothWays)
-  await t.throwsAsync(link.call(peer.proxy.address, QUESTION, LONG))
+  await t.throwsAsync(link.call(peer.proxy.address, REQUEST, LONG_TIMEOUT))
   t.like(reported, [{ address: peer.proxy.address }])
   t.true(reported[0].sinceMs >= startMs && reported[0].sinceMs < performance.now())
 })
@@ -141,7 +141,7 @@
       await stopDetected
     },
   }, new FastClock())
-  const parts = link.stream(proxy.address, QUESTION, { timeoutMs: 6_000_000 })[Symbol.asyncIterator]()
+  const parts = link.stream(proxy.address, REQUEST, { timeoutMs: 6_000_000 })[Symbol.asyncIterator]()
   await parts.next()
   proxy.silenceOpen(Silence.BothWays)
   await t.notThrowsAsync(stopDetected)
--- a/net/peer-link/test/wsPeerLink.ts
+++ b/net/peer-link/test/wsPeerLink.ts
@@ -12,8 +12,8 @@
 import { WebSocket, WebSocketServer } from 'ws'
 
 const DONE: PeerMessage = { type: MessageType.Done }
-const QUESTION: PeerMessage = { type: MessageType.Cancel, key: 'k' }
-const CALL = { timeoutMs: 2000 }
+const REQUEST: PeerMessage = { type: MessageType.Cancel, key: 'k' }
+const CALL_OPTIONS = { timeoutMs: 2000 }
 
 const MAX_MESSAGE_BYTES = 10_000
 /** Large enough for a configuration of 1,600 routes. */
@@ -32,7 +32,7 @@
 test('a call is answered', async (t) => {
   const { address } = await createLink(t)
   const { link } = await createLink(t)
-  t.deepEqual(await link.call(address, QUESTION, CALL), DONE)
+  t.deepEqual(await link.call(address, REQUEST, CALL_OPTIONS), DONE)
 })
 
 test('an error of the peer keeps its code and message', async (t) => {
@@ -40,19 +40,19 @@
     onCall: async () => { throw new ReelspanError(ErrorCode.OwnerGone, 'gone', { verdict: Verdict.MayHaveRun }) },
   })
   const { link } = await createLink(t)
-  await t.throwsAsync(link.call(address, QUESTION, CALL), { code: ErrorCode.OwnerGone, message: 'gone' })
+  await t.throwsAsync(link.call(address, REQUEST, CALL_OPTIONS), { code: ErrorCode.OwnerGone, message: 'gone' })
 })
 
 test('a stream arrives in order and ends', async (t) => {
   const { address } = await createLink(t, {
     onStream: async function * () {
-      yield QUESTION
+      yield REQUEST
       yield DONE
     },
   })
   const { link } = await createLink(t)
   const parts = []
-  for await (const part of link.stream(address, QUESTION, CALL)) parts.push(part.type)
+  for await (const part of link.stream(address, REQUEST, CALL_OPTIONS)) parts.push(part.type)
   t.deepEqual(parts, [MessageType.Cancel, MessageType.Done])
 })
 
@@ -66,7 +66,7 @@
     },
   })
   const { link } = await createLink(t)
-  const parts = link.stream(address, QUESTION, CALL)[Symbol.asyncIterator]()
+  const parts = link.stream(address, REQUEST, CALL_OPTIONS)[Symbol.asyncIterator]()
   t.like(await parts.next(), { value: DONE })
   await parts.return?.()
   await t.notThrowsAsync(stopped.promise)
@@ -74,15 +74,15 @@
 
 test('a call to an address where nothing listens fails and has not run', async (t) => {
   const { link } = await createLink(t)
-  await t.throwsAsync(link.call(await freeAddress(), QUESTION, CALL), { code: ErrorCode.PeerUnreachable, message: /cannot be reached/ })
-  const error = await link.call(await freeAddress(), QUESTION, CALL).catch((thrown: ReelspanError) => thrown)
+  await t.throwsAsync(link.call(await freeAddress(), REQUEST, CALL_OPTIONS), { code: ErrorCode.PeerUnreachable, message: /cannot be reached/ })
+  const error = await link.call(await freeAddress(), REQUEST, CALL_OPTIONS).catch((thrown: ReelspanError) => thrown)
   t.like(error, { mayHaveArrived: false, verdict: Verdict.NotRun })
 })
 
 test('a call whose peer closes after it received the message may have run', async (t) => {
   const other = await createLink(t, { onCall: async () => { await other.link.close(); return DONE } })
   const { link } = await createLink(t)
-  const error = await link.call(other.address, QUESTION, CALL).catch((thrown: ReelspanError) => thrown)
+  const error = await link.call(other.address, REQUEST, CALL_OPTIONS).catch((thrown: ReelspanError) => thrown)
   t.like(error, { mayHaveArrived: true, verdict: Verdict.MayHaveRun })
 })
 
@@ -90,8 +90,8 @@
   let calls = 0
   const { address } = await createLink(t, { onCall: async () => calls++ === 0 ? DONE : new Promise(() => {}) })
   const { link } = await createLink(t)
-  await link.call(address, QUESTION, CALL)
-  const error = await link.call(address, QUESTION, { timeoutMs: 50 }).catch((thrown: ReelspanError) => thrown)
+  await link.call(address, REQUEST, CALL_OPTIONS)
+  const error = await link.call(address, REQUEST, { timeoutMs: 50 }).catch((thrown: ReelspanError) => thrown)
   t.like(error, { mayHaveArrived: true })
 })
 
@@ -114,17 +114,17 @@
   t.is(await sendRaw(address, Buffer.from('nonsense')), 'closed')
   t.is(await sendRaw(address, packr.pack([1, 1, 0, { type: 'noSuchType' }])), 'closed')
   t.is(await sendRaw(address, packr.pack([1, 1, 0, { type: MessageType.Cancel, key: 7 }])), 'closed')
-  t.is(await sendRaw(address, packr.pack([0, 1, 0, QUESTION])), 'closed')
-  t.is(await sendRaw(address, packr.pack([1, 1, 0, { ...QUESTION, key: 'k'.repeat(20_000) }])), 'closed')
+  t.is(await sendRaw(address, packr.pack([0, 1, 0, REQUEST])), 'closed')
+  t.is(await sendRaw(address, packr.pack([1, 1, 0, { ...REQUEST, key: 'k'.repeat(20_000) }])), 'closed')
 })
 
 test('a message of a newer release with unknown fields is accepted', async (t) => {
   const { address } = await createLink(t)
-  t.is(await sendRaw(address, new Packr().pack([2, 1, 0, { ...QUESTION, addedLater: true }])), 'answered')
+  t.is(await sendRaw(address, new Packr().pack([2, 1, 0, { ...REQUEST, addedLater: true }])), 'answered')
 })
 
 /** The time is not tested here: the first message of this size runs code that is not compiled yet. */
-const LARGE_CALL = { timeoutMs: 60_000 }
+const LARGE_CALL_OPTIONS = { timeoutMs: 60_000 }
 
 /** Resources that compress about as well as those of a real deployment. */
 function createContent (routes: number): MessageOf<MessageType.ConfigContent> {
@@ -141,14 +141,14 @@
   const content = createContent(1600)
   const { address } = await createLink(t, { onCall: async () => content }, LARGE_MESSAGES)
   const { link } = await createLink(t, undefined, LARGE_MESSAGES)
-  t.true(isDeepStrictEqual(await link.call(address, QUESTION, LARGE_CALL), content))
+  t.true(isDeepStrictEqual(await link.call(address, REQUEST, LARGE_CALL_OPTIONS), content))
   t.true(link.traffic.receivedBytes < 50_000, `${link.traffic.receivedBytes} bytes received`)
 })
 
 test('a large request is sent compressed as well', async (t) => {
   const { address } = await createLink(t, undefined, LARGE_MESSAGES)
   const { link } = await createLink(t, undefined, LARGE_MESSAGES)
-  t.deepEqual(await link.call(address, createContent(1600), LARGE_CALL), DONE)
+  t.deepEqual(await link.call(address, createContent(1600), LARGE_CALL_OPTIONS), DONE)
   t.true(link.traffic.sentBytes < 50_000, `${link.traffic.sentBytes} bytes sent`)
 })
 
@@ -161,25 +161,25 @@
 test('a message below the threshold is sent uncompressed', async (t) => {
   const { address } = await createLink(t)
   const { link } = await createLink(t)
-  await link.call(address, { ...QUESTION, key: 'k'.repeat(5000) }, CALL)
+  await link.call(address, { ...REQUEST, key: 'k'.repeat(5000) }, CALL_OPTIONS)
   t.true(link.traffic.sentBytes > 5000, `${link.traffic.sentBytes} bytes sent`)
 })
 
 test('a compressed message of a stream keeps its position among uncompressed ones', async (t) => {
-  const parts = [createContent(1600), DONE, createContent(800), QUESTION]
+  const parts = [createContent(1600), DONE, createContent(800), REQUEST]
   const { address } = await createLink(t, { onStream: async function * () { yield * parts } }, LARGE_MESSAGES)
   const { link } = await createLink(t, undefined, LARGE_MESSAGES)
   const received = []
-  for await (const part of link.stream(address, QUESTION, LARGE_CALL)) received.push(part)
+  for await (const part of link.stream(address, REQUEST, LARGE_CALL_OPTIONS)) received.push(part)
   t.true(isDeepStrictEqual(received, parts))
 })
 
 test('a compressed message that exceeds the maximum size once decompressed is refused, and the error on both sides says so', async (t) => {
-  const huge = { ...QUESTION, key: 'k'.repeat(500_000) }
+  const huge = { ...REQUEST, key: 'k'.repeat(500_000) }
   const narrow = await createLink(t)
   const wide = await createLink(t, { onCall: async () => huge }, LARGE_MESSAGES)
-  await t.throwsAsync(wide.link.call(narrow.address, huge, LARGE_CALL), { code: ErrorCode.PeerUnreachable, message: /larger than the peer accepts/ })
-  await t.throwsAsync(narrow.link.call(wide.address, QUESTION, LARGE_CALL), { code: ErrorCode.PeerUnreachable, message: /larger than 10000 bytes/ })
+  await t.throwsAsync(wide.link.call(narrow.address, huge, LARGE_CALL_OPTIONS), { code: ErrorCode.PeerUnreachable, message: /larger than the peer accepts/ })
+  await t.throwsAsync(narrow.link.call(wide.address, REQUEST, LARGE_CALL_OPTIONS), { code: ErrorCode.PeerUnreachable, message: /larger than 10000 bytes/ })
 })
 
 test('large messages are exchanged with a box of a release without compression', async (t) => {
@@ -188,7 +188,7 @@
   const packr = new Packr({ useRecords: false })
   const socket = new WebSocket(`ws://${address}`, { perMessageDeflate: false })
   await new Promise((resolve) => socket.once('open', resolve))
-  socket.send(packr.pack([1, 1, 0, QUESTION]))
+  socket.send(packr.pack([1, 1, 0, REQUEST]))
   const answer = await new Promise<Buffer>((resolve) => socket.once('message', resolve))
   socket.terminate()
   t.true(isDeepStrictEqual(packr.unpack(answer).at(3), content))
@@ -202,7 +202,7 @@
     socket.send(packr.pack([1, id, 3]))
   }))
   const { port } = uncompressed.address() as AddressInfo
-  t.true(isDeepStrictEqual(await link.call(`127.0.0.1:${port}`, content, LARGE_CALL), content))
+  t.true(isDeepStrictEqual(await link.call(`127.0.0.1:${port}`, content, LARGE_CALL_OPTIONS), content))
 })
 
 /** Creates a link that may have this many connections in each direction. */
@@ -220,8 +220,8 @@
   const busy = await createLink(t, { onCall: async () => new Promise((resolve) => { finish = resolve }) })
   const others = await Promise.all([createLink(t), createLink(t), createLink(t)])
   const { link } = await createLimitedLink(t, 2)
-  const waiting = link.call(busy.address, QUESTION, CALL)
-  for (const { address } of others) t.deepEqual(await link.call(address, QUESTION, CALL), DONE)
+  const waiting = link.call(busy.address, REQUEST, CALL_OPTIONS)
+  for (const { address } of others) t.deepEqual(await link.call(address, REQUEST, CALL_OPTIONS), DONE)
   t.is(link.traffic.connectionsOpened, 4)
   finish(DONE)
   t.deepEqual(await waiting, DONE)
@@ -232,8 +232,8 @@
   const { address } = await createLink(t)
   const { link } = await createLimitedLink(t, 1)
   const stop = new AbortController()
-  const waiting = t.throwsAsync(link.call(busy.address, QUESTION, { ...CALL, signal: stop.signal }))
-  const error = await link.call(address, QUESTION, CALL).catch((thrown: ReelspanError) => thrown)
+  const waiting = t.throwsAsync(link.call(busy.address, REQUEST, { ...CALL_OPTIONS, signal: stop.signal }))
+  const error = await link.call(address, REQUEST, CALL_OPTIONS).catch((thrown: ReelspanError) => thrown)
   t.like(error, { mayHaveArrived: false, verdict: Verdict.NotRun })
   stop.abort()
   await waiting
@@ -244,7 +244,7 @@
   const peers = await Promise.all([createLink(t), createLink(t), createLink(t)])
   for (const { link } of [...peers, ...peers]) {
     // The message is lost if it was sent on a connection that is just being closed.
-    const answer = await link.call(address, QUESTION, CALL).catch(() => link.call(address, QUESTION, CALL))
+    const answer = await link.call(address, REQUEST, CALL_OPTIONS).catch(() => link.call(address, REQUEST, CALL_OPTIONS))
     t.deepEqual(answer, DONE)
   }
 })
--- a/net/system-env/src/connectionGuard.ts
+++ b/net/system-env/src/connectionGuard.ts
@@ -56,10 +56,10 @@
   }
 
   #updateFull (): void {
-    const { maxConnections, onFull } = this.#opts
+    const { maxConnections, onFull: onFullChanged } = this.#opts
     const full = this.#connections >= (this.#full ? CLOSE_IDLE_SHARE : FULL_SHARE) * maxConnections
     if (full === this.#full) return
     this.#full = full
-    onFull?.(full, this.#connections)
+    onFullChanged?.(full, this.#connections)
   }
 }
--- a/telemetry/log/test/boundedLineStream.ts
+++ b/telemetry/log/test/boundedLineStream.ts
@@ -11,7 +11,7 @@
   return { fileDescriptor, read: () => readFileSync(path, 'utf8') }
 }
 
-async function until (condition: () => boolean): Promise<void> {
+async function waitUntil (condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise((resolve) => setImmediate(resolve))
 }
 
@@ -19,7 +19,7 @@
   const { fileDescriptor, read } = createFile(t)
   const stream = new BoundedLineStream({ fileDescriptor, nowMs: () => 0 })
   for (let i = 0; i < 5; i++) stream.write(`${i}\n`)
-  await until(() => read().length === 10)
+  await waitUntil(() => read().length === 10)
   t.is(read(), '0\n1\n2\n3\n4\n')
 })
 
@@ -31,7 +31,7 @@
   t.is(stream.unreportedDrops, 3)
   nowMs = 1000
   stream.write('later\n')
-  await until(() => read().endsWith('later\n'))
+  await waitUntil(() => read().endsWith('later\n'))
   t.is(read(), '0\n1\n{"event":"linesDropped","lines":3}\nlater\n')
   t.is(stream.totalDrops, 3)
 })
@@ -50,6 +50,6 @@
   const { fileDescriptor } = createFile(t, constants.O_CREAT | constants.O_RDONLY)
   const stream = new BoundedLineStream({ fileDescriptor, nowMs: () => 0 })
   stream.write('lost\n')
-  await until(() => stream.unreportedDrops > 0)
+  await waitUntil(() => stream.unreportedDrops > 0)
   t.is(stream.unreportedDrops, 1)
 })
