--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -411,14 +411,14 @@
   {
     name: 'a connection between boxes on which nothing comes is looked at',
     file: 'net/peer-link/src/outgoingConnection.ts',
-    find: 'if (await this.#staysQuiet(QUIET_MS)) await this.#examine()',
-    replace: 'await this.#staysQuiet(QUIET_MS)',
+    find: 'if (await this.#isIdleFor(PING_AFTER_IDLE_MS)) await this.#probe()',
+    replace: 'await this.#isIdleFor(PING_AFTER_IDLE_MS)',
     tests: ['net/peer-link/test.lib/silentConnections.js'],
   },
   {
     name: 'kept connections from before a silent one are not used',
     file: 'net/http-exchange/src/connectionPool.ts',
-    find: 'if (silent) this.distrustKept(sentAtMs, address)',
+    find: 'if (unresponsive) this.distrustKept(sentAtMs, address)',
     replace: '',
     tests: ['net/http-exchange/test.lib/silentConnections.js'],
   },
