--- a/cli/reelspan/src/main.ts
+++ b/cli/reelspan/src/main.ts
@@ -6,7 +6,7 @@
 import meow from 'meow'
 import { type RunningBox } from './startBox.js'
 
-/** Environment variable that holds the path of the platform's settings file. */
+/** Environment variable with the path of the platform's settings file. */
 const SETTINGS_VARIABLE = 'REELSPAN_BOOT'
 
 /** Exit codes of `reelspan`. */
@@ -28,18 +28,18 @@
 
   Options
     --config FILE   The box's settings (TOML)
-    --platform      Take the settings from the platform's file, which $${SETTINGS_VARIABLE} names
-    --fixed-roles   With --platform: engines keep the roles in which the platform starts them
+    --platform      Read the settings from the platform's file, whose path is in $${SETTINGS_VARIABLE}
+    --fixed-roles   With --platform: engines keep the roles that the platform starts them with
     --json          check, version: print JSON
 
   Exit codes
     0 done   1 failed   2 wrong command line   3 wrong settings
 
-  A planned stop is SIGTERM: requests that run are completed first. A second
-  signal ends the box at once.
+  SIGTERM stops the box as planned: running requests are completed first. A
+  second signal stops it at once.
 `
 
-/** The `reelspan` command. Resolves with its exit code. */
+/** Runs the `reelspan` command and resolves with its exit code. */
 export async function main (argv: readonly string[]): Promise<ExitCode> {
   const cli = meow(HELP, {
     importMeta: import.meta,
@@ -51,13 +51,13 @@
   const [command] = cli.input
   try {
     switch (command) {
-      case 'serve': return cli.flags.platform ? await servePlatform(platformFile(), cli.flags.fixedRoles) : await serve(await readSettings(cli.flags.config))
-      case 'check': return cli.flags.platform ? await checkPlatform(platformFile(), cli.flags.json) : await check(cli.flags.config, cli.flags.json)
+      case 'serve': return cli.flags.platform ? await servePlatform(platformSettingsFile(), cli.flags.fixedRoles) : await serve(await readSettings(cli.flags.config))
+      case 'check': return cli.flags.platform ? await checkPlatform(platformSettingsFile(), cli.flags.json) : await check(cli.flags.config, cli.flags.json)
       case 'version': return printVersion(cli.pkg.version as string, cli.flags.json)
-      default: return usage(command === undefined ? 'a command is needed: serve, check or version' : `unknown command «${command}»: use serve, check or version`)
+      default: return reportUsageError(command === undefined ? 'a command is needed: serve, check or version' : `unknown command «${command}»: use serve, check or version`)
     }
   } catch (thrown) {
-    return report(thrown)
+    return reportError(thrown)
   }
 }
 
@@ -80,9 +80,9 @@
   return ExitCode.Done
 }
 
-function platformFile (): string {
+function platformSettingsFile (): string {
   const file = process.env[SETTINGS_VARIABLE]
-  if (!file) throw new UsageError(`--platform needs the variable ${SETTINGS_VARIABLE}, which names the settings file`)
+  if (!file) throw new UsageError(`--platform needs the environment variable ${SETTINGS_VARIABLE} with the path of the settings file`)
   return file
 }
 
@@ -95,7 +95,7 @@
 
 async function servePlatform (file: string, fixedRoles: boolean): Promise<ExitCode> {
   const { startPlatformBox } = await import('@reelspan/platform.adapter')
-  // Without a listener the signal would end the process, also while it starts.
+  // Installed before the start, since a SIGHUP without a listener terminates the process.
   const started: { box?: RunningPlatformBox } = {}
   process.on('SIGHUP', () => { void started.box?.reload() })
   started.box = await startPlatformBox(file, { fixedRoles })
@@ -124,13 +124,13 @@
 
 class UsageError extends Error {}
 
-function usage (message: string): ExitCode {
+function reportUsageError (message: string): ExitCode {
   console.error(`reelspan: ${message}\nTry «reelspan --help».`)
   return ExitCode.Usage
 }
 
-function report (thrown: unknown): ExitCode {
-  if (thrown instanceof UsageError) return usage(thrown.message)
+function reportError (thrown: unknown): ExitCode {
+  if (thrown instanceof UsageError) return reportUsageError(thrown.message)
   if (thrown instanceof ReelspanError) {
     console.error(`${thrown.message}${thrown.hint ? `\n${thrown.hint}` : ''}`)
     return ExitCode.BadSettings
--- a/cli/reelspan/src/startBox.ts
+++ b/cli/reelspan/src/startBox.ts
@@ -16,14 +16,14 @@
 const IDLE_CLOSE_MS = 30_000
 const NOT_READY_POLL_MS = 50
 
-/** A box that serves. */
+/** A box that accepts requests. */
 export interface RunningBox {
   box: Box
-  /** Ends what is listened on; answers under way are completed. */
+  /** Closes the listening servers; answers in progress are completed. */
   stopListening: () => Promise<void>
 }
 
-/** Starts a box from its settings: reads platform and peers first, then listens. */
+/** Starts a box from its settings: it reads from the platform and its peers before it listens for callers. */
 export async function startBox (settings: Settings): Promise<RunningBox> {
   const loopDelay = new LoopDelay()
   const { listen, limits, platform, log } = settings
@@ -61,7 +61,7 @@
   await box.start()
   const operators = createOperatorServer({ clock, box, token, bodyBytes: limits.bodyBytes })
   await listenAt(operators, listen.operatorAddress)
-  // Callers are let in once there is something to serve them by.
+  // The caller port opens only once the box has a configuration to route by.
   while (!box.ready) await clock.sleep(NOT_READY_POLL_MS)
   const callers = createCallerServer({ clock, box, ...limits, onFailed: ({ message }) => boxLog.warn(LogEvent.ListenerFailed, { server: 'callers', reason: message }) })
   await listenAt(callers, listen.callerAddress)
@@ -73,6 +73,6 @@
   if (operatorTokenFile !== undefined) return (await readFile(operatorTokenFile, 'utf8')).trim()
   if (operatorTokenVariable === undefined) return undefined
   const token = process.env[operatorTokenVariable]
-  if (!token) throw new ReelspanError(ErrorCode.BadSettings, `listen.operatorTokenVariable: the environment has no ${operatorTokenVariable}`)
+  if (!token) throw new ReelspanError(ErrorCode.BadSettings, `listen.operatorTokenVariable: the environment variable ${operatorTokenVariable} is not set`)
   return token
 }
--- a/cli/reelspan/test/cli.ts
+++ b/cli/reelspan/test/cli.ts
@@ -6,13 +6,13 @@
 
 const BIN = join(import.meta.dirname, '..', 'bin', 'reelspan.js')
 
-interface Ran {
+interface CommandResult {
   code: number
   out: string
   err: string
 }
 
-function run (...args: string[]): Promise<Ran> {
+function run (...args: string[]): Promise<CommandResult> {
   return new Promise((resolve) => execFile(process.execPath, [BIN, ...args], (error, out, err) => {
     resolve({ code: error ? Number(error.code) : 0, out, err })
   }))
@@ -31,14 +31,14 @@
   t.regex((await run('version')).out, /^reelspan 0\.1\.0, protocol 1\n$/)
 })
 
-test('a wrong command line is said to be one', async (t) => {
+test('a wrong command line is reported with a usage hint', async (t) => {
   t.like(await run(), { code: 2, err: 'reelspan: a command is needed: serve, check or version\nTry «reelspan --help».\n' })
   t.like(await run('sreve'), { code: 2 })
   t.like(await run('serve'), { code: 2, err: 'reelspan: --config FILE is needed\nTry «reelspan --help».\n' })
   t.like(await run('check', '--config', '/no/such/file'), { code: 2, err: 'reelspan: --config: /no/such/file cannot be read: ENOENT\nTry «reelspan --help».\n' })
 })
 
-test('wrong settings start nothing and are named by file and key', async (t) => {
+test('invalid settings are reported by file and key, and the box does not start', async (t) => {
   const file = await settingsFile('[box]\nname = "a"\navailabiltyZone = "z"\n')
   const { code, err } = await run('serve', '--config', file)
   t.is(code, 3)
@@ -46,7 +46,7 @@
   t.true(err.includes(`${file}: listen: `))
 })
 
-test('right settings are said to be right', async (t) => {
+test('check reports valid settings as ok', async (t) => {
   const file = await settingsFile('[box]\nname = "a"\navailabilityZone = "z"\n[listen]\ncallerAddress = "127.0.0.1:1"\npeerAddress = "127.0.0.1:2"\noperatorAddress = "127.0.0.1:3"\n[platform]\naddresses = ["127.0.0.1:4"]\n')
   t.like(await run('check', '--config', file), { code: 0, out: `${file}: ok\n` })
 })
--- a/cli/reelspan/test/platform.ts
+++ b/cli/reelspan/test/platform.ts
@@ -9,7 +9,7 @@
 import test from 'ava'
 
 const BIN = join(import.meta.dirname, '..', 'bin', 'reelspan.js')
-/** An address of its own, since the metrics port is the same on every machine. */
+/** A loopback address that no other test uses: the metrics port is fixed, so a shared address would conflict. */
 const IP = '127.0.0.2'
 const PROCESS_METRICS = ['reelspan_loop_delay_ms', 'reelspan_log_lines_dropped_total', 'reelspan_peer_sent_bytes_total', 'reelspan_peer_received_bytes_total', 'reelspan_peer_connections']
 
@@ -25,8 +25,8 @@
   return { lines, readyPort }
 }
 
-/** Resolves with the first log line of an event. */
-async function logged (box: ChildProcess, event: string): Promise<void> {
+/** Resolves once the process has logged the event. */
+async function waitForLogEvent (box: ChildProcess, event: string): Promise<void> {
   for await (const line of createInterface({ input: box.stdout as NodeJS.ReadableStream })) {
     if (JSON.parse(line).event === event) return
   }
@@ -39,13 +39,13 @@
   })
 }
 
-/** Metrics that a box on the platform tells, without their labels. */
+/** Names of the metrics that a box on the platform exports, without labels. */
 async function metricNames (): Promise<Set<string>> {
   const text = await (await fetch(`http://${IP}:9464/metrics`)).text()
   return new Set(text.split('\n').filter((line) => line && !line.startsWith('#')).map((line) => line.split(/[{ ]/)[0]))
 }
 
-test('a settings file of the platform is checked, field by field', async (t) => {
+test('check --platform validates each field of the platform\'s settings file', async (t) => {
   const { lines } = await settingsLines()
   const check = async (file: string) => new Promise<{ code: number, out: string, err: string }>((resolve) => {
     execFile(process.execPath, [BIN, 'check', '--platform'], { env: { ...process.env, REELSPAN_BOOT: file } }, (error, out, err) => resolve({ code: error ? Number(error.code) : 0, out, err }))
@@ -58,11 +58,11 @@
   t.true(err.includes(`${wrong}: listen.ready: is missing`))
 })
 
-test('without a platform a box is not ready; SIGHUP does not end it, SIGTERM does', async (t) => {
+test('a box without a platform is not ready; SIGHUP does not stop it, and SIGTERM does', async (t) => {
   const { lines, readyPort } = await settingsLines()
   const box = spawn(process.execPath, [BIN, 'serve', '--platform'], { env: { ...process.env, REELSPAN_BOOT: await settingsFile(lines) }, stdio: ['ignore', 'pipe', 'inherit'] })
   t.teardown(() => box.kill('SIGKILL'))
-  await logged(box, 'started')
+  await waitForLogEvent(box, 'started')
   t.is(await statusOf(readyPort), 503)
   const names = await metricNames()
   t.deepEqual(PROCESS_METRICS.filter((name) => !names.has(name)), [], 'metrics of the process that are missing')
--- a/cli/reelspanctl/src/boxClient.ts
+++ b/cli/reelspanctl/src/boxClient.ts
@@ -19,7 +19,7 @@
 /** The box did not answer. */
 export class BoxUnreachableError extends Error {}
 
-/** Reads from the operators' interface of a box. */
+/** Client of a box's operator API. */
 export class BoxClient {
   readonly #opts: BoxClientOptions
 
@@ -45,7 +45,7 @@
   try {
     return (JSON.parse(text) as { error: { message: string } }).error.message
   } catch {
-    // Not an answer of a box's API: the status is all that it says.
+    // The body is not an error of the box's API, so only the status is known.
     return `status ${status}`
   }
 }
--- a/cli/reelspanctl/src/checkFolder.ts
+++ b/cli/reelspanctl/src/checkFolder.ts
@@ -5,7 +5,7 @@
 
 export interface FolderCheck {
   resourceCount: number
-  /** One line each: file, resource, field, and what is wrong. */
+  /** One line per problem: file, resource, field and message. */
   problems: string[]
 }
 
@@ -15,7 +15,7 @@
   problem?: string
 }
 
-/** Checks the declarations in a folder (one resource a TOML file) exactly as a box does before it adopts them. */
+/** Checks the declarations in a folder (one resource per TOML file) with the checks that a box runs before it adopts them. */
 export async function checkFolder (folder: string): Promise<FolderCheck> {
   const names = (await readdir(folder, { recursive: true })).filter((name) => name.endsWith('.toml')).sort()
   const files = await Promise.all(names.map((name) => readDeclared(folder, name)))
--- a/cli/reelspanctl/src/exitCode.ts
+++ b/cli/reelspanctl/src/exitCode.ts
@@ -4,7 +4,7 @@
   Failed = 1,
   /** The command line is wrong. */
   Usage = 2,
-  /** `check` found something, or what was asked for does not exist. */
+  /** `check` found problems, or the requested resource or request does not exist. */
   Problems = 3,
   /** The box could not be reached. */
   Unreachable = 4,
--- a/cli/reelspanctl/src/main.ts
+++ b/cli/reelspanctl/src/main.ts
@@ -16,24 +16,24 @@
     $ reelspanctl lookup                  Which boxes to use, and a key prefix
     $ reelspanctl list [KIND]             Resources in force
     $ reelspanctl get KIND NAME           One resource
-    $ reelspanctl status KIND NAME        Its state over the fleet
+    $ reelspanctl status KIND NAME        State of one resource across the fleet
     $ reelspanctl watch [--since N]       Print each change as it comes into force
     $ reelspanctl check FOLDER            Check declarations before they are published
-    $ reelspanctl explain ID [FILE …]     A request's trail and likely cause, from log lines
-    $ reelspanctl tally [FILE …]          How requests ended, route by route, and how long they were held, from log lines
+    $ reelspanctl explain ID [FILE …]     A request's trace and likely cause, from log lines
+    $ reelspanctl tally [FILE …]          Outcomes and latencies of requests by kind and route, from log lines
     $ reelspanctl dump                    The box's whole state (JSON)
     $ reelspanctl metrics                 The box's metrics
 
   Options
     --box IP:PORT       Operator address of any box (default: ${DEFAULT_BOX})
-    --token-file FILE   File with the operators' token
+    --token-file FILE   File with the operator token
     --since N           watch: print changes after this revision
     --once              watch: stop after the first answer
     --json              list, get, status, watch, check, lookup, explain, tally: print JSON
 
   Exit codes
     0 done   1 failed   2 wrong command line
-    3 check found problems, or there is no such resource or request   4 box unreachable
+    3 check found problems, or the resource or request was not found   4 box unreachable
 `
 
 interface Flags {
@@ -42,12 +42,12 @@
   since: number
 }
 
-/** The `reelspanctl` command. Resolves with its exit code. */
+/** Runs the `reelspanctl` command and resolves with its exit code. */
 export async function main (argv: readonly string[]): Promise<ExitCode> {
   const cli = meow(HELP, {
     importMeta: import.meta,
     argv: [...argv],
-    description: 'Reads what reelspan does, from any of its boxes',
+    description: 'Inspects a reelspan fleet through any of its boxes',
     allowUnknownFlags: false,
     flags: {
       box: { type: 'string', default: DEFAULT_BOX },
@@ -63,7 +63,7 @@
     const token = tokenFile === undefined ? undefined : (await readFile(tokenFile, 'utf8')).trim()
     return await run(command, args, new BoxClient({ box, token }), cli.flags)
   } catch (thrown) {
-    return report(thrown)
+    return reportError(thrown)
   }
 }
 
@@ -121,7 +121,7 @@
 
 class UsageError extends Error {}
 
-function report (thrown: unknown): ExitCode {
+function reportError (thrown: unknown): ExitCode {
   console.error(`reelspanctl: ${errorMessage(thrown)}`)
   if (thrown instanceof UsageError) {
     console.error('Try «reelspanctl --help».')
--- a/cli/reelspanctl/src/requestEnd.ts
+++ b/cli/reelspanctl/src/requestEnd.ts
@@ -1,53 +1,53 @@
 import { ErrorCode, Verdict } from '@reelspan/core.error'
 import { type LogLine } from './readLogLines.js'
 
-/** How a request ended, as its caller has it. In the order of a table. */
+/** Outcome of a request for its caller, in the order of the table's rows. */
 export enum Outcome {
   ServedInTime = 'servedInTime',
   ServedLate = 'servedLate',
-  /** Its line does not say what was wanted. */
+  /** Its log line has no latency target to compare with. */
   Served = 'served',
   Refused = 'refused',
   Failed = 'failed',
-  Left = 'left',
+  Cancelled = 'left',
 }
 
 export interface RequestEnd {
   outcome: Outcome
-  /** Why it was refused, without the numbers, or with what it failed. */
+  /** Reason of a refusal, with numbers removed, or error code or status of a failure. */
   cause?: string
-  /** Until the first part of an answer, or until the end of a request that got none. */
+  /** Time to the first part of a streamed answer that was served, otherwise to the end of the request. */
   heldMs: number
 }
 
 const FIRST_SERVER_ERROR = 500
-/** Numbers, addresses and names of machines, which differ from request to request. */
+/** Numbers, addresses and machine names differ between requests, so they are removed to group refusals by reason. */
 const WORDS_WITH_DIGITS = /\S*\d\S*/g
 
-/** What the line of a request that ended says of it. */
+/** Reads outcome, cause and latency from a `requestEnded` line. */
 export function requestEnd (line: LogLine): RequestEnd {
   const outcome = outcomeOf(line)
   const served = outcome === Outcome.ServedInTime || outcome === Outcome.ServedLate
-  return { outcome, cause: causeOf(outcome, line), heldMs: Number((served ? firstPartMs(line) : undefined) ?? line.durationMs ?? 0) }
+  return { outcome, cause: causeOf(outcome, line), heldMs: Number((served ? latencyMs(line) : undefined) ?? line.durationMs ?? 0) }
 }
 
 function outcomeOf (line: LogLine): Outcome {
   const { verdict, code } = line
-  if (code === ErrorCode.Cancelled) return Outcome.Left
+  if (code === ErrorCode.Cancelled) return Outcome.Cancelled
   if (verdict === Verdict.NotRun) return Outcome.Refused
   if (verdict !== Verdict.Finished || Number(line.status) >= FIRST_SERVER_ERROR) return Outcome.Failed
   if (line.ttftTargetMs === undefined) return Outcome.Served
-  return isInTime(line) ? Outcome.ServedInTime : Outcome.ServedLate
+  return metTargets(line) ? Outcome.ServedInTime : Outcome.ServedLate
 }
 
-function isInTime (line: LogLine): boolean {
+function metTargets (line: LogLine): boolean {
   const { ttftTargetMs, tbtTargetMs, longestPauseMs } = line
-  if (Number(firstPartMs(line)) > Number(ttftTargetMs)) return false
+  if (Number(latencyMs(line)) > Number(ttftTargetMs)) return false
   return tbtTargetMs === undefined || Number(longestPauseMs) <= Number(tbtTargetMs)
 }
 
-/** A call is of use to its caller once it is whole. */
-function firstPartMs ({ tbtTargetMs, firstMs, durationMs }: LogLine): unknown {
+/** Time compared with the TTFT target: to the first part for streams, to the end for calls, since a caller needs the complete answer. */
+function latencyMs ({ tbtTargetMs, firstMs, durationMs }: LogLine): unknown {
   return tbtTargetMs === undefined ? durationMs : firstMs ?? durationMs
 }
 
--- a/cli/reelspanctl/src/show.ts
+++ b/cli/reelspanctl/src/show.ts
@@ -5,7 +5,7 @@
   resources: { kind: string, name: string, revision: number }[]
 }
 
-interface EngineLine {
+interface EngineStatus {
   name: string
   servedVersion?: string
   leaving: boolean
@@ -16,27 +16,27 @@
   reportAgeMs?: number
 }
 
-/** Which roles the engines of a shard should have, where they follow the load. */
-interface RolesLine {
+/** Target numbers of prefill and decode engines of a shard whose roles follow the load. */
+interface RoleTarget {
   outcome: string
   target: { prefill: number, decode: number }
 }
 
-interface ShardLine {
+interface ShardStatus {
   shard: string
   waiting: number
   reservations: number
   mayOrder: boolean
-  roles?: RolesLine
-  prefill: EngineLine[]
-  decode: EngineLine[]
+  roles?: RoleTarget
+  prefill: EngineStatus[]
+  decode: EngineStatus[]
 }
 
 export interface Status {
   resource: { kind: string, name: string, revision: number }
   revisionInForce: number
   rejected?: { revision: number, problems: string[] }
-  shards: { box: string, ageMs: number, shard: ShardLine }[]
+  shards: { box: string, ageMs: number, shard: ShardStatus }[]
   boxesNotAsked: string[]
 }
 
@@ -51,27 +51,27 @@
   return ExitCode.Done
 }
 
-/** The status of a resource as lines for an operator. */
+/** Formats the status of a resource as lines of text. */
 export function statusLines ({ resource, revisionInForce, rejected, shards, boxesNotAsked }: Status): string[] {
   return [
     `${resource.kind}/${resource.name}  changed in revision ${resource.revision}, revision ${revisionInForce} is in force`,
-    ...(rejected ? [`revision ${rejected.revision} was refused:`, ...rejected.problems.map((problem) => `  ${problem}`)] : []),
+    ...(rejected ? [`revision ${rejected.revision} was rejected:`, ...rejected.problems.map((problem) => `  ${problem}`)] : []),
     ...shards.flatMap(({ box, ageMs, shard }) => [
-      `shard ${shard.shard}  accounted for by ${box}, ${ageMs} ms ago: ${shard.waiting} wait, ${shard.reservations} run${shard.mayOrder ? '' : ', may not order yet'}`,
-      ...shard.roles ? [`  roles: ${shard.roles.target.prefill} prefill and ${shard.roles.target.decode} decode wanted (${shard.roles.outcome})`] : [],
+      `shard ${shard.shard}  accounted for by ${box}, ${ageMs} ms ago: ${shard.waiting} waiting, ${shard.reservations} running${shard.mayOrder ? '' : ', may not give orders yet'}`,
+      ...shard.roles ? [`  roles: ${shard.roles.target.prefill} prefill and ${shard.roles.target.decode} decode targeted (${shard.roles.outcome})`] : [],
       ...[...shard.prefill, ...shard.decode].map(engineLine),
     ]),
-    ...(boxesNotAsked.length > 0 ? [`could not be asked: ${boxesNotAsked.join(', ')}`] : []),
+    ...(boxesNotAsked.length > 0 ? [`unreachable: ${boxesNotAsked.join(', ')}`] : []),
   ]
 }
 
-function engineLine (engine: EngineLine): string {
+function engineLine (engine: EngineStatus): string {
   const state = [
-    engine.servedVersion === undefined ? 'takes no work' : `version ${engine.servedVersion}`,
+    engine.servedVersion === undefined ? 'accepts no requests' : `version ${engine.servedVersion}`,
     ...(engine.leaving ? ['leaving'] : []),
-    ...(engine.retiring ? ['emptying for an order'] : []),
+    ...(engine.retiring ? ['draining for an order'] : []),
     ...(engine.busyMs === undefined ? [] : [`busy for ${engine.busyMs} ms`]),
-    ...(engine.reservedPlaces === undefined ? [] : [`${engine.reservedPlaces} places reserved, ${engine.externalPlaces} used by others`]),
+    ...(engine.reservedPlaces === undefined ? [] : [`${engine.reservedPlaces} slots reserved, ${engine.externalPlaces} used by others`]),
     engine.reportAgeMs === undefined ? 'no report' : `report ${engine.reportAgeMs} ms old`,
   ]
   return `  ${engine.name}: ${state.join(', ')}`
--- a/cli/reelspanctl/src/tallyLines.ts
+++ b/cli/reelspanctl/src/tallyLines.ts
@@ -1,63 +1,63 @@
 import { Outcome } from './requestEnd.js'
-import { type TallyReturns } from './tallyReturns.js'
+import { type TallyRetries } from './tallyRetries.js'
 import { type MissingLines, type Tally, type TallyGroup } from './tallyRequests.js'
-import { type Reached, type TallyRow } from './tallyRow.js'
+import { type StageStats, type TallyRow } from './tallyRow.js'
 
 const HEADINGS = ['requests', 'share', 'held median', 'mean', '99%', 'placed', 'sent', 'first part', 'retries']
-const WORDS: Record<Outcome, string> = {
+const OUTCOME_LABELS: Record<Outcome, string> = {
   [Outcome.ServedInTime]: 'served in time',
   [Outcome.ServedLate]: 'served late',
-  [Outcome.Served]: 'served, no target known',
+  [Outcome.Served]: 'served, no target logged',
   [Outcome.Refused]: 'refused',
   [Outcome.Failed]: 'failed',
-  [Outcome.Left]: 'left',
+  [Outcome.Cancelled]: 'cancelled',
 }
-const NOTHING = '-'
+const EMPTY_CELL = '-'
 const TO_PERCENT = 100
 
-/** The tally as text, a line each. */
+/** Formats the tally as lines of text. */
 export function tallyLines ({ kinds, routes, returns, missing }: Tally): string[] {
   return [
-    'Times are milliseconds since the request came; «3 @ 40» says that 3 of them got so far, at the median after 40 ms.',
+    'Times are milliseconds since the request arrived; «3 @ 40» means that 3 requests reached the stage, after a median of 40 ms.',
     ...kinds.flatMap((kind) => ['', `kind ${kind.name}: ${kind.requests} requests`, ...table(kind)]),
     ...routes.flatMap((route) => ['', `route ${route.name}${route.kind === undefined ? '' : ` (${route.kind})`}: ${route.requests} requests`, ...table(route)]),
-    ...returnLines(returns),
+    ...retryLines(returns),
     ...missingLines(missing),
   ]
 }
 
 function table ({ rows }: TallyGroup): string[] {
-  const cells = [[...HEADINGS, ''], ...rows.map(cellsOf)]
+  const cells = [[...HEADINGS, ''], ...rows.map(rowCells)]
   const widths = HEADINGS.map((_, column) => Math.max(...cells.map((row) => row[column].length)))
   return cells.map((row) => `  ${widths.map((width, column) => row[column].padStart(width)).join('  ')}  ${row[HEADINGS.length]}`.trimEnd())
 }
 
-function cellsOf ({ outcome, cause, requests, share, heldMs, placed, sent, firstPart, retries }: TallyRow): string[] {
+function rowCells ({ outcome, cause, requests, share, heldMs, placed, sent, firstPart, retries }: TallyRow): string[] {
   return [
     String(requests),
     `${(share * TO_PERCENT).toFixed(1)}%`,
-    ...[heldMs?.median, heldMs?.mean, heldMs?.p99].map((ms) => ms === undefined ? NOTHING : String(ms)),
-    ...[placed, sent, firstPart].map(reachedCell),
-    retries?.toFixed(1) ?? NOTHING,
-    cause === undefined ? WORDS[outcome] : `${WORDS[outcome]}: ${cause}`,
+    ...[heldMs?.median, heldMs?.mean, heldMs?.p99].map((ms) => ms === undefined ? EMPTY_CELL : String(ms)),
+    ...[placed, sent, firstPart].map(stageCell),
+    retries?.toFixed(1) ?? EMPTY_CELL,
+    cause === undefined ? OUTCOME_LABELS[outcome] : `${OUTCOME_LABELS[outcome]}: ${cause}`,
   ]
 }
 
-function reachedCell (reached: Reached | undefined): string {
-  return reached && reached.requests > 0 ? `${reached.requests} @ ${reached.medianMs}` : NOTHING
+function stageCell (stage: StageStats | undefined): string {
+  return stage && stage.requests > 0 ? `${stage.requests} @ ${stage.medianMs}` : EMPTY_CELL
 }
 
-function returnLines ({ refused, cameBack, ends }: TallyReturns): string[] {
+function retryLines ({ refused, cameBack, ends }: TallyRetries): string[] {
   if (refused === 0) return []
-  return ['', `${refused} prompts were refused at least once; ${cameBack} of them came again`, ...ends.map(({ outcome, requests }) => `  ${requests} ${outcome === Outcome.Refused ? 'refused again' : WORDS[outcome]}`)]
+  return ['', `${refused} prompts were refused at least once; ${cameBack} of them were retried`, ...ends.map(({ outcome, requests }) => `  ${requests} ${outcome === Outcome.Refused ? 'refused again' : OUTCOME_LABELS[outcome]}`)]
 }
 
 function missingLines ({ droppedLines, unreadableLines, withoutEnd, withoutTrail }: MissingLines): string[] {
-  const said = [
-    { count: droppedLines, text: 'lines were dropped under load: what they told of is not counted' },
+  const counts = [
+    { count: droppedLines, text: 'lines were dropped under load: their events are not counted' },
     { count: unreadableLines, text: 'lines could not be read' },
-    { count: withoutEnd, text: 'requests have no end: they still ran, their process ended, or the line was dropped' },
-    { count: withoutTrail, text: 'requests lack lines of their trail: what was known when may be said of too few' },
+    { count: withoutEnd, text: 'requests have no end: they were still running, their process exited, or the line was dropped' },
+    { count: withoutTrail, text: 'requests have an incomplete trace: the counts of placed and sent requests may be too low' },
   ].filter(({ count }) => count > 0)
-  return said.length > 0 ? ['', ...said.map(({ count, text }) => `${count} ${text}`)] : []
+  return counts.length > 0 ? ['', ...counts.map(({ count, text }) => `${count} ${text}`)] : []
 }
--- a/cli/reelspanctl/src/tallyRow.ts
+++ b/cli/reelspanctl/src/tallyRow.ts
@@ -3,55 +3,55 @@
 import { type LogLine } from './readLogLines.js'
 import { Outcome, type RequestEnd } from './requestEnd.js'
 
-/** Requests of a group that got so far, and when at the median since they came. */
-export interface Reached {
+/** How many requests of a group reached a stage, and the median time from their arrival until then. */
+export interface StageStats {
   requests: number
   medianMs: number
 }
 
-/** Requests that ended alike. */
+/** Requests with the same outcome and cause. */
 export interface TallyRow {
   outcome: Outcome
   cause?: string
   requests: number
   share: number
-  /** From here on: for requests that were not served in time. */
+  /** Like the fields below, set only for requests that were not served in time. */
   heldMs?: { median: number, mean: number, p99: number }
-  placed?: Reached
-  sent?: Reached
-  firstPart?: Reached
-  /** Tries after the first one, for each request. */
+  placed?: StageStats
+  sent?: StageStats
+  firstPart?: StageStats
+  /** Mean number of retries per request. */
   retries?: number
 }
 
-/** A request with its lines. */
+/** A request that has ended, with its log lines. */
 export interface EndedRequest extends RequestEnd {
   end: LogLine
   trail: readonly LogLine[]
 }
 
-const MEDIAN = 50
-const LAST_IN_100 = 99
+const P50 = 50
+const P99 = 99
 
-/** What requests that ended alike have in common. */
-export function tallyRow (alike: readonly EndedRequest[], total: number): TallyRow {
-  const [{ outcome, cause }] = alike
-  const row = { outcome, cause, requests: alike.length, share: alike.length / total }
+/** Summarizes requests with the same outcome and cause. */
+export function tallyRow (group: readonly EndedRequest[], total: number): TallyRow {
+  const [{ outcome, cause }] = group
+  const row = { outcome, cause, requests: group.length, share: group.length / total }
   if (outcome === Outcome.ServedInTime || outcome === Outcome.Served) return row
-  const held = alike.map(({ heldMs }) => heldMs)
+  const held = group.map(({ heldMs }) => heldMs)
   return {
     ...row,
-    heldMs: { median: percentile(held, MEDIAN), mean: Math.round(sumOf(held) / held.length), p99: percentile(held, LAST_IN_100) },
-    placed: reached(alike.map(({ trail }) => trail.find(({ event }) => event === LogEvent.RequestPlaced)?.atMs)),
-    sent: reached(alike.map(({ end }) => end.lastSentMs)),
-    firstPart: reached(alike.map(({ end }) => end.firstMs)),
-    retries: sumOf(alike.map(({ trail }) => trail.filter(({ event }) => event === LogEvent.RequestRetried).length)) / alike.length,
+    heldMs: { median: percentile(held, P50), mean: Math.round(sumOf(held) / held.length), p99: percentile(held, P99) },
+    placed: stageStats(group.map(({ trail }) => trail.find(({ event }) => event === LogEvent.RequestPlaced)?.atMs)),
+    sent: stageStats(group.map(({ end }) => end.lastSentMs)),
+    firstPart: stageStats(group.map(({ end }) => end.firstMs)),
+    retries: sumOf(group.map(({ trail }) => trail.filter(({ event }) => event === LogEvent.RequestRetried).length)) / group.length,
   }
 }
 
-function reached (timesMs: readonly unknown[]): Reached {
+function stageStats (timesMs: readonly unknown[]): StageStats {
   const known = timesMs.filter((timeMs) => typeof timeMs === 'number')
-  return { requests: known.length, medianMs: percentile(known, MEDIAN) }
+  return { requests: known.length, medianMs: percentile(known, P50) }
 }
 
 function sumOf (values: readonly number[]): number {
--- a/cli/reelspanctl/test/cli.ts
+++ b/cli/reelspanctl/test/cli.ts
@@ -11,7 +11,7 @@
   }))
 }
 
-test('declarations are checked before they are published', async (t) => {
+test('check reports problems of the declarations in a folder', async (t) => {
   t.like(await run('check', join(FIXTURES, 'good')), { code: 0, out: '2 resources, no problems\n' })
   const { code, err } = await run('check', join(FIXTURES, 'bad'))
   t.is(code, 3)
@@ -21,12 +21,12 @@
   ])
 })
 
-test('a script gets JSON', async (t) => {
+test('check --json prints JSON', async (t) => {
   const { out } = await run('check', join(FIXTURES, 'bad'), '--json')
   t.is(JSON.parse(out).problems.length, 2)
 })
 
-test('a wrong command line, and a box that is not there, have exit codes of their own', async (t) => {
+test('a wrong command line gives exit code 2, an unreachable box exit code 4', async (t) => {
   t.is((await run('lst')).code, 2)
   t.is((await run('get', 'Route')).code, 2)
   t.is((await run('list', '--box', '127.0.0.1:1')).code, 4)
--- a/cli/reelspanctl/test/show.ts
+++ b/cli/reelspanctl/test/show.ts
@@ -19,17 +19,17 @@
   boxesNotAsked: [],
 }
 
-test('the status of a model names its engines and what they do', (t) => {
+test('the status of a model lists its engines with their state', (t) => {
   t.deepEqual(statusLines(STATUS), [
     'Model/draft  changed in revision 3, revision 4 is in force',
-    'shard draft  accounted for by box-1, 20 ms ago: 0 wait, 2 run',
-    '  p-1: version 1, emptying for an order, busy for 0 ms, report 300 ms old',
-    '  d-1: version 1, 2 places reserved, 0 used by others, report 300 ms old',
+    'shard draft  accounted for by box-1, 20 ms ago: 0 waiting, 2 running',
+    '  p-1: version 1, draining for an order, busy for 0 ms, report 300 ms old',
+    '  d-1: version 1, 2 slots reserved, 0 used by others, report 300 ms old',
   ])
 })
 
-test('where roles follow the load, the status names the share that is wanted', (t) => {
+test('if roles follow the load, the status shows the targeted number of engines per role', (t) => {
   const [{ box, ageMs, shard }] = STATUS.shards
   const lines = statusLines({ ...STATUS, shards: [{ box, ageMs, shard: { ...shard, roles: { outcome: 'settling', target: { prefill: 1, decode: 1 } } } }] })
-  t.is(lines[2], '  roles: 1 prefill and 1 decode wanted (settling)')
+  t.is(lines[2], '  roles: 1 prefill and 1 decode targeted (settling)')
 })
--- a/cli/reelspanctl/test/tally.ts
+++ b/cli/reelspanctl/test/tally.ts
@@ -27,7 +27,7 @@
   return rows.map(({ outcome, cause, requests }) => [cause === undefined ? outcome : `${outcome}: ${cause}`, requests])
 }
 
-test('requests of a route are counted by how they ended, refusals by reason whatever its numbers, failures by code', async (t) => {
+test('requests of a route are counted by outcome, refusals by reason without its numbers, failures by code', async (t) => {
   const { routes } = await tallied()
   t.deepEqual(counts(rowsOf(routes, 'drafts')), [
     ['servedInTime', 2],
@@ -39,23 +39,23 @@
   ])
 })
 
-test('an answer with a server\'s error is a failure, and pauses count for streams alone', async (t) => {
+test('a response with a server error status counts as failed, and pauses are compared with the target for streams only', async (t) => {
   const { routes } = await tallied()
   t.deepEqual(counts(rowsOf(routes, 'status')), [['servedInTime', 1], ['failed: status 500', 1]])
 })
 
-test('requests without a route or a target have lines of their own', async (t) => {
+test('requests without a route or without a target are counted separately', async (t) => {
   const { routes } = await tallied()
   t.deepEqual(counts(rowsOf(routes, 'letters')), [['served', 1]])
   t.deepEqual(counts(rowsOf(routes, 'no route')), [['refused: there is no route for desk/x', 1]])
 })
 
-test('kinds of requests are counted over their routes, those with most that were not served in time first', async (t) => {
+test('requests are counted by kind over all routes, kinds with the most requests not served in time first', async (t) => {
   const { kinds } = await tallied()
   t.deepEqual(kinds.map(({ name, requests }: { name: string, requests: number }) => [name, requests]), [['resumableStream', 9], ['not known', 2], ['repeatableCall', 2]])
 })
 
-test('for requests that were not served in time it is said how long they were held and what was known when', async (t) => {
+test('requests not served in time are listed with their latencies, and how many reached each stage and when', async (t) => {
   const { routes } = await tallied()
   const [inTime, late, refused, turnedAway, failed, left] = rowsOf(routes, 'drafts')
   t.false('heldMs' in inTime)
@@ -66,31 +66,31 @@
   t.like(left, { heldMs: { median: 3600 }, placed: { requests: 0 } })
 })
 
-test('refused requests are followed to their caller\'s later tries by the hash of their prompt', async (t) => {
+test('refused requests are matched to their caller\'s retries by the hash of their prompt', async (t) => {
   const { returns } = await tallied()
   t.deepEqual(returns, { refused: 3, cameBack: 2, ends: [{ outcome: 'servedInTime', requests: 1 }, { outcome: 'refused', requests: 1 }] })
   const { out } = await run([LOG])
-  t.regex(out, /^3 prompts were refused at least once; 2 of them came again\n {2}1 served in time\n {2}1 refused again$/m)
+  t.regex(out, /^3 prompts were refused at least once; 2 of them were retried\n {2}1 served in time\n {2}1 refused again$/m)
 })
 
-test('what is missing of the log is said', async (t) => {
+test('the tally reports how much of the log is missing', async (t) => {
   const { missing } = await tallied()
   t.deepEqual(missing, { droppedLines: 12, unreadableLines: 1, withoutEnd: 1, withoutTrail: 4 })
   const { out } = await run([LOG])
   t.regex(out, /12 lines were dropped under load/)
   t.regex(out, /1 lines could not be read/)
   t.regex(out, /1 requests have no end/)
-  t.regex(out, /4 requests lack lines of their trail/)
+  t.regex(out, /4 requests have an incomplete trace/)
 })
 
-test('the table is read from standard input too, a line for each way to end', async (t) => {
+test('the log is read from standard input too, and the table has a row for each outcome', async (t) => {
   const { code, out } = await run([], readFileSync(LOG, 'utf8'))
   t.is(code, 0)
   t.regex(out, /^route drafts \(resumableStream\): 9 requests$/m)
-  t.regex(out, /^ +1 +11\.1% +3600 +3600 +3600 +- +- +- +0\.0 {2}left$/m)
+  t.regex(out, /^ +1 +11\.1% +3600 +3600 +3600 +- +- +- +0\.0 {2}cancelled$/m)
 })
 
-test('lines that say of no request how it ended have an exit code of their own', async (t) => {
+test('a log without the outcome of any request gives exit code 3', async (t) => {
   const { code, err } = await run([], '{"event":"started"}\n')
   t.is(code, 3)
   t.regex(err, /none of 1 lines/)
