--- a/__utils__/fake-fleet/src/collectAnswer.ts
+++ b/__utils__/fake-fleet/src/collectAnswer.ts
@@ -2,19 +2,20 @@
 import { type ErrorCode, Verdict } from '@reelspan/core.error'
 import { type AnswerEvent, AnswerEventKind } from '@reelspan/core.messages'
 
-/** What a caller got. */
+/** Outcome of a request for its caller. */
 export interface Outcome {
   verdict: Verdict
   code?: ErrorCode
   message?: string
   retryAfterMs?: number
   text: string
-  /** Times of the tokens and of the end, from the start of the request. */
+  /** Arrival times of the tokens, relative to the start of the request. */
   tokenAtMs: number[]
+  /** Time of the answer's end, relative to the start of the request. */
   endMs: number
 }
 
-/** Reads an answer to its end. One that breaks off leaves its caller knowing nothing. */
+/** Reads an answer to its end. If it is interrupted, the verdict is that the request may have run. */
 export async function collectAnswer (clock: Clock, events: AsyncIterable<AnswerEvent>): Promise<Outcome> {
   const startedAtMs = clock.nowMs()
   const outcome: Outcome = { verdict: Verdict.MayHaveRun, text: '', tokenAtMs: [], endMs: 0 }
--- a/__utils__/fake-fleet/src/fakeFleet.ts
+++ b/__utils__/fake-fleet/src/fakeFleet.ts
@@ -8,37 +8,37 @@
 import { Metrics } from '@reelspan/telemetry.metrics'
 import { EngineRole, type RelayedRequest } from '@reelspan/upstream.client'
 import { collectAnswer, type Outcome } from './collectAnswer.js'
-import { KeepingCaller } from './keepingCaller.js'
-import { SilentLog } from './silentLog.js'
+import { RecordingCaller } from './keepingCaller.js'
+import { RecordingLog } from './silentLog.js'
 
 export interface FakeFleetOptions {
   seed?: number
   boxCount?: number
-  /** Settings of every box, section by section, over the defaults. */
+  /** Settings of all boxes by section; sections left out have the defaults. */
   settings?: Partial<Record<keyof Settings, object>>
   engine?: Partial<EngineModelOptions>
   declarations?: readonly PublishedEntry[]
   deployment?: ReturnType<typeof tuulFleet>
 }
 
-/** One box process. A restart makes another one at the same address. */
+/** One process of a box. A restart adds another one at the same address. */
 export interface FakeBox {
   name: string
   address: string
   availabilityZone: string
   clock: NodeClock
   box: Box
-  log: SilentLog
+  log: RecordingLog
   metrics: Metrics
   alive: boolean
-  /** Ends every caller's connection when the process dies. */
+  /** Aborted when the process is killed; closes all callers' connections. */
   killed: AbortController
 }
 
-/** An upstream whose process has ended is back after this time, as the users' are. */
-const BACK_AFTER_MS = 3500
+/** How long a crashed upstream takes to restart, as in the users' deployments. */
+const RESTART_DELAY_MS = 3500
 
-/** Platform, upstreams and boxes in one program. */
+/** Simulates a fleet in one program: real boxes with a fake platform, upstreams, network and clock. */
 export class FakeFleet {
   readonly clock = new VirtualClock()
   readonly random: SeededRandom
@@ -46,13 +46,13 @@
   readonly platform: PlatformModel
   readonly engines = new Map<string, EngineModel>()
   readonly services = new Map<string, ServiceModel>()
-  /** What relayed requests do at upstreams. */
+  /** Upstreams as relayed requests see them. */
   readonly relayed: RelayedUpstreams
   readonly boxes: FakeBox[] = []
   readonly #opts: FakeFleetOptions
-  readonly #pastEngines: EngineModel[] = []
+  readonly #stoppedEngines: EngineModel[] = []
   readonly #deployment: ReturnType<typeof tuulFleet>
-  /** Callers and upstreams have addresses too, so that ways between them can be cut. */
+  /** Addresses of boxes and upstreams by name. Upstreams have them too, so that traffic to them can be blocked. */
   readonly #addressOf = new Map<string, string>()
 
   constructor (opts: FakeFleetOptions = {}) {
@@ -60,14 +60,14 @@
     this.random = new SeededRandom(opts.seed ?? 1)
     this.network = new FakeNetwork({ clock: this.clock, random: this.random })
     this.platform = new PlatformModel(this.clock)
-    this.relayed = new RelayedUpstreams({ clock: this.clock, isThere: (address) => this.#isThere(address), end: (address) => { void this.#crashAt(address) } })
+    this.relayed = new RelayedUpstreams({ clock: this.clock, isRunning: (address) => this.#isRunning(address), end: (address) => { void this.#crashAt(address) } })
     const { boxes, upstreams } = opts.deployment ?? tuulFleet()
     this.#deployment = { boxes: boxes.slice(0, opts.boxCount ?? boxes.length), upstreams }
     this.#deployment.upstreams.forEach(({ name, kind, pool }, i) => this.#addUpstream(name, kind, pool, `10.1.0.${i + 1}:80`))
     this.#deployment.boxes.forEach(({ name }, i) => this.#addressOf.set(name, `10.0.${Math.floor(i / 250)}.${i % 250 + 1}:7101`))
   }
 
-  /** Publishes the deployment, starts the boxes, and lets them meet. */
+  /** Publishes the deployment, starts the boxes, and waits until they know each other. */
   async start (): Promise<this> {
     this.platform.publish(Collection.Declarations, this.#opts.declarations ?? tuulDeclarations())
     publishFleet(
@@ -100,7 +100,7 @@
     return this.boxes.filter(({ alive }) => alive)
   }
 
-  /** The box whose scheduler has the most engines under account; the first one if none has any. */
+  /** The first box that schedules a shard, or the first box if none does. */
   schedulerBox (): FakeBox {
     return this.liveBoxes().find(({ box }) => box.describe().shards.length > 0) ?? this.liveBoxes()[0]
   }
@@ -109,7 +109,7 @@
     const { availabilityZone } = this.#deployment.boxes.find((box) => box.name === name) as { availabilityZone: string }
     const address = this.address(name)
     const { clock, link } = this.network.addNode(address)
-    const log = new SilentLog()
+    const log = new RecordingLog()
     const metrics = new Metrics()
     const channel = { clock, network: this.network, address }
     const box = createBox({
@@ -120,7 +120,7 @@
       platform: new FakePlatformReader({ clock, platform: this.platform, address }),
       engines: new FakeEngineClient({ ...channel, models: this.engines }),
       services: new FakeServiceClient({ ...channel, models: this.services }),
-      probe: new FakeUpstreamProbe({ ...channel, isThere: (upstream) => this.#isThere(upstream) }),
+      probe: new FakeUpstreamProbe({ ...channel, isThere: (upstream) => this.#isRunning(upstream) }),
       relayClient: new FakeRelayClient({ ...channel, upstreams: this.relayed }),
       log,
       metrics,
@@ -132,7 +132,7 @@
     return running
   }
 
-  /** The process dies. */
+  /** Kills a box's process. */
   kill (name: string): void {
     this.box(name).alive = false
     this.box(name).killed.abort()
@@ -141,23 +141,23 @@
   }
 
   killEngine (name: string): void {
-    this.#pastEngines.push(this.engine(name))
+    this.#stoppedEngines.push(this.engine(name))
     this.engines.delete(this.address(name))
   }
 
-  /** The engine's process ends and another one starts, empty. */
+  /** Replaces an engine's process by a new one without state. */
   restartEngine (name: string): void {
     const { role } = this.engine(name)
     this.killEngine(name)
     this.#addEngine(name, role, this.address(name))
   }
 
-  /** The upstream's process ends, and with it all that runs there. Another one starts at its address after a while. */
+  /** Crashes an upstream's process with all requests that run there. Another one starts at its address after a delay. */
   async crash (name: string): Promise<void> {
     await this.#crashAt(this.address(name))
   }
 
-  /** Nothing passes between a box and anything else. */
+  /** Blocks all traffic between a box and all other addresses. */
   cutOff (name: string): void {
     this.everyAddress().filter((address) => address !== this.address(name)).forEach((address) => this.network.cutBoth(this.address(name), address))
   }
@@ -167,18 +167,18 @@
     return this.#deployment.boxes.filter((box) => box.availabilityZone === availabilityZone).map(({ name }) => this.address(name))
   }
 
-  /** Nothing passes between an availability zone and the rest. */
+  /** Blocks all traffic between an availability zone and the others. */
   cutOffZone (availabilityZone: string): void {
     const { boxes, upstreams } = this.#deployment
-    const places = [...boxes, ...upstreams]
-    const inside = places.filter((place) => place.availabilityZone === availabilityZone)
-    const outside = places.filter((place) => place.availabilityZone !== availabilityZone)
+    const members = [...boxes, ...upstreams]
+    const inside = members.filter((place) => place.availabilityZone === availabilityZone)
+    const outside = members.filter((place) => place.availabilityZone !== availabilityZone)
     inside.forEach((a) => outside.forEach((b) => this.network.cutBoth(this.address(a.name), this.address(b.name))))
   }
 
-  /** Engines that run or have run: their logs of runs outlive them. */
+  /** Running and stopped engines, whose records of runs are kept. */
   allEngines (): EngineModel[] {
-    return [...this.#pastEngines, ...this.engines.values()]
+    return [...this.#stoppedEngines, ...this.engines.values()]
   }
 
   /** Addresses of boxes and upstreams. */
@@ -186,14 +186,14 @@
     return [...this.#addressOf.values()]
   }
 
-  /** Sends a request through a box, as a caller that waits for the whole answer. */
+  /** Sends a request to a box as a caller, and resolves with the outcome of the complete answer. */
   send (boxName: string, request: CompletionRequest | ServiceRequest, signal: AbortSignal = new AbortController().signal): Promise<Outcome> {
     const { box, clock, killed } = this.box(boxName)
     const answer = collectAnswer(clock, box.submit(request, signal))
     return Promise.race([answer, connectionLost([killed.signal, signal])])
   }
 
-  completion (boxName: string, prompt: string, over: Partial<CompletionRequest> = {}): CompletionRequest {
+  completion (boxName: string, prompt: string, overrides: Partial<CompletionRequest> = {}): CompletionRequest {
     return {
       kind: RequestKind.Completion,
       key: this.box(boxName).box.createKey(),
@@ -207,11 +207,11 @@
       priority: 0,
       ttftTargetMs: 390,
       tbtTargetMs: 76,
-      ...over,
+      ...overrides,
     }
   }
 
-  booking (key: string, over: Partial<ServiceRequest> = {}): ServiceRequest {
+  booking (key: string, overrides: Partial<ServiceRequest> = {}): ServiceRequest {
     return {
       kind: RequestKind.Service,
       key,
@@ -222,21 +222,21 @@
       method: 'POST',
       path: '/desk/bookings',
       body: new Uint8Array(),
-      ...over,
+      ...overrides,
     }
   }
 
-  /** A key whose prefix a box gives out now. */
+  /** Creates a request key with a prefix of the box. */
   key (boxName: string): string {
     return this.box(boxName).box.createKey()
   }
 
-  /** Times that a request ran, over all services. */
+  /** Number of runs of a request at all services. */
   serviceRuns (key: string): number {
     return [...this.services.values()].reduce((sum, { runs }) => sum + (runs.get(key) ?? 0), 0)
   }
 
-  /** Everything that engines hold now. */
+  /** Current holds of all engines. */
   holds () {
     return [...this.engines.values()].flatMap((engine) => engine.holds().map((hold) => ({ ...hold, engine: engine.name })))
   }
@@ -246,9 +246,9 @@
     await this.clock.run(Promise.all(this.liveBoxes().map(({ box }) => box.stop())))
   }
 
-  /** Relays a request through a box, and answers what its caller got. */
-  async relay (boxName: string, request: Partial<RelayedRequest> & Pick<RelayedRequest, 'id' | 'host' | 'target'>, deadlineMs?: number): Promise<KeepingCaller> {
-    const caller = new KeepingCaller()
+  /** Relays a request through a box, and resolves with what its caller received. */
+  async relay (boxName: string, request: Partial<RelayedRequest> & Pick<RelayedRequest, 'id' | 'host' | 'target'>, deadlineMs?: number): Promise<RecordingCaller> {
+    const caller = new RecordingCaller()
     const { box, killed } = this.box(boxName)
     killed.signal.addEventListener('abort', () => caller.cut(), { once: true })
     const prompt = { model: 'draft', promptTokens: 500, maxTokens: 40, prefixes: [{ digest: request.target, tokens: 500 }] }
@@ -256,7 +256,7 @@
     return caller
   }
 
-  #isThere (address: string): boolean {
+  #isRunning (address: string): boolean {
     return this.engines.has(address) || this.services.has(address)
   }
 
@@ -266,8 +266,8 @@
     if (engine) this.killEngine(engine.name)
     this.services.delete(address)
     engine?.crash()
-    this.relayed.breakOff(address)
-    await this.clock.sleep(BACK_AFTER_MS)
+    this.relayed.abortRuns(address)
+    await this.clock.sleep(RESTART_DELAY_MS)
     if (engine) this.#addEngine(engine.name, engine.role, address)
     if (service) this.services.set(address, new ServiceModel({ clock: this.clock, name: service.name }))
   }
@@ -298,16 +298,16 @@
       loaded: [{ model: 'draft', version: '1' }],
       exportFrom: async (prefillAddress, label) => {
         const engine = this.engines.get(prefillAddress)
-        if (!engine) throw new Error('the prefill engine is gone')
+        if (!engine) throw new Error('the prefill engine has exited')
         return engine.exportResult(label)
       },
-      onRole: (next) => this.#listInRole(name, next),
+      onRoleChanged: (next) => this.#publishRole(name, next),
       ...this.#opts.engine,
     }))
   }
 
-  /** The platform lists an engine in the pool of the role that it has come to. */
-  #listInRole (name: string, role: EngineRole): void {
+  /** Publishes an engine in the pool of its new role. */
+  #publishRole (name: string, role: EngineRole): void {
     const upstream = this.#deployment.upstreams.find((one) => one.name === name)
     const pool = this.#deployment.upstreams.map((one) => one.pool).find((one) => one.endsWith(role))
     if (!upstream || !pool) return
@@ -316,7 +316,7 @@
   }
 }
 
-/** What a caller knows when its connection breaks. */
+/** Resolves with the outcome for a caller whose connection is lost, once one of the signals is aborted. */
 function connectionLost (signals: readonly AbortSignal[]): Promise<Outcome> {
   const outcome: Outcome = { verdict: Verdict.MayHaveRun, text: '', tokenAtMs: [], endMs: 0 }
   return new Promise((resolve) => {
--- a/__utils__/fake-fleet/src/index.ts
+++ b/__utils__/fake-fleet/src/index.ts
@@ -1,6 +1,6 @@
 export { FakeFleet } from './fakeFleet.js'
 export type { FakeFleetOptions, FakeBox } from './fakeFleet.js'
-export { SilentLog } from './silentLog.js'
+export { RecordingLog as SilentLog } from './silentLog.js'
 export { collectAnswer } from './collectAnswer.js'
 export type { Outcome } from './collectAnswer.js'
-export { KeepingCaller } from './keepingCaller.js'
+export { RecordingCaller as KeepingCaller } from './keepingCaller.js'
--- a/__utils__/fake-fleet/src/keepingCaller.ts
+++ b/__utils__/fake-fleet/src/keepingCaller.ts
@@ -1,14 +1,15 @@
 import { type FinalAnswer } from '@reelspan/core.messages'
 import { RelayCaller } from '@reelspan/request.relay'
 
-/** A caller of a relayed request that keeps what it gets. */
-export class KeepingCaller extends RelayCaller {
+/** A caller of a relayed request that records its answer. */
+export class RecordingCaller extends RelayCaller {
+  /** Aborted to simulate that the caller disconnects. */
   readonly left = new AbortController()
   status?: number
   body = ''
-  /** The answer came to its end. */
+  /** Whether the answer was received completely. */
   whole = false
-  /** The connection was cut in the middle of the answer. */
+  /** Whether the answer was aborted before its end. */
   wasCut = false
   refused?: FinalAnswer
 
--- a/__utils__/fake-fleet/src/silentLog.ts
+++ b/__utils__/fake-fleet/src/silentLog.ts
@@ -1,7 +1,7 @@
 import { Log, type LogEvent, type LogFields } from '@reelspan/telemetry.log'
 
-/** Keeps log events for tests to look at. */
-export class SilentLog extends Log {
+/** Records log events for tests instead of printing them. */
+export class RecordingLog extends Log {
   readonly entries: { event: LogEvent, fields?: LogFields }[] = []
 
   info (event: LogEvent, fields?: LogFields): void {
--- a/__utils__/fakes/src/deployments.ts
+++ b/__utils__/fakes/src/deployments.ts
@@ -3,29 +3,28 @@
 import { Collection } from '@reelspan/core.messages'
 import { type PlatformModel, type PublishedEntry } from './platformModel.js'
 
-export interface UpstreamPlace {
+export interface DeployedUpstream {
   name: string
   kind: UpstreamKind
   pool: string
   availabilityZone: string
 }
 
-export interface BoxPlace {
+export interface DeployedBox {
   name: string
   availabilityZone: string
 }
 
-/** Tuul's availability zones. */
-const TUUL_ZONES = ['hall-a', 'hall-b', 'hall-c']
-const TUUL_PREFILL_ENGINES = 3
-const TUUL_DECODE_ENGINES = 5
-const TUUL_SERVICES = 3
-const TUUL_BOXES = 8
+const ZONES = ['hall-a', 'hall-b', 'hall-c']
+const PREFILL_ENGINES = 3
+const DECODE_ENGINES = 5
+const SERVICES = 3
+const BOXES = 8
 const KV_BYTES_PER_ENGINE = 4_000_000_000
 const LINK_BYTES_PER_SECOND = 5_000_000_000
 
-/** What Tuul declares: one model in two pools, and a desk service whose bookings may not be repeated. */
-export function tuulDeclarations (): PublishedEntry[] {
+/** Sample declarations: one model in two pools, and a desk service whose bookings are not repeatable. */
+export function sampleDeclarations (): PublishedEntry[] {
   return [
     { kind: ResourceKind.Pool, name: 'draft-prefill', spec: { role: PoolRole.Prefill, linkBytesPerSecond: LINK_BYTES_PER_SECOND } },
     { kind: ResourceKind.Pool, name: 'draft-decode', spec: { role: PoolRole.Decode, minReadyEngines: 3, kvBytesPerEngine: KV_BYTES_PER_ENGINE, linkBytesPerSecond: LINK_BYTES_PER_SECOND } },
@@ -49,23 +48,23 @@
   ]
 }
 
-/** Tuul's machines of today. */
-export function tuulFleet (): { boxes: BoxPlace[], upstreams: UpstreamPlace[] } {
-  const zone = (i: number) => TUUL_ZONES[i % TUUL_ZONES.length]
+/** Boxes and upstreams of the sample deployment. */
+export function sampleFleet (): { boxes: DeployedBox[], upstreams: DeployedUpstream[] } {
+  const zone = (i: number) => ZONES[i % ZONES.length]
   const upstreams = (count: number, name: string, kind: UpstreamKind, pool: string) =>
-    Array.from({ length: count }, (_, i): UpstreamPlace => ({ name: `${name}-${i + 1}`, kind, pool, availabilityZone: zone(i) }))
+    Array.from({ length: count }, (_, i): DeployedUpstream => ({ name: `${name}-${i + 1}`, kind, pool, availabilityZone: zone(i) }))
   return {
-    boxes: Array.from({ length: TUUL_BOXES }, (_, i) => ({ name: `box-${i + 1}`, availabilityZone: zone(i) })),
+    boxes: Array.from({ length: BOXES }, (_, i) => ({ name: `box-${i + 1}`, availabilityZone: zone(i) })),
     upstreams: [
-      ...upstreams(TUUL_PREFILL_ENGINES, 'prefill', UpstreamKind.Engine, 'draft-prefill'),
-      ...upstreams(TUUL_DECODE_ENGINES, 'decode', UpstreamKind.Engine, 'draft-decode'),
-      ...upstreams(TUUL_SERVICES, 'desk', UpstreamKind.Service, 'script-desk'),
+      ...upstreams(PREFILL_ENGINES, 'prefill', UpstreamKind.Engine, 'draft-prefill'),
+      ...upstreams(DECODE_ENGINES, 'decode', UpstreamKind.Engine, 'draft-decode'),
+      ...upstreams(SERVICES, 'desk', UpstreamKind.Service, 'script-desk'),
     ],
   }
 }
 
-/** Publishes boxes and upstreams with their addresses. */
-export function publishFleet (platform: PlatformModel, boxes: readonly (BoxPlace & { peerAddress: string })[], upstreams: readonly (UpstreamPlace & { address: string })[]): void {
+/** Publishes boxes and upstreams with their addresses in the platform's fleet list. */
+export function publishFleet (platform: PlatformModel, boxes: readonly (DeployedBox & { peerAddress: string })[], upstreams: readonly (DeployedUpstream & { address: string })[]): void {
   platform.publish(Collection.Fleet, [
     ...boxes.map(({ name, ...spec }) => ({ kind: FleetEntryKind.Box, name, spec })),
     ...upstreams.map(({ name, ...spec }) => ({ kind: FleetEntryKind.Upstream, name, spec })),
--- a/__utils__/fakes/src/engineModel.ts
+++ b/__utils__/fakes/src/engineModel.ts
@@ -6,7 +6,7 @@
 import { PrefixCache } from './prefixCache.js'
 
 /** Fetches a prefill result from another engine. */
-export type ExportResult = (prefillAddress: string, label: HoldLabel) => Promise<ExportedResult>
+export type FetchPrefillResult = (prefillAddress: string, label: HoldLabel) => Promise<ExportedResult>
 
 export interface ExportedResult {
   prompt: string
@@ -18,7 +18,7 @@
   name: string
   role: EngineRole
   loaded: LoadedModel[]
-  exportFrom: ExportResult
+  exportFrom: FetchPrefillResult
   placesTotal?: number
   kvBytesTotal?: number
   kvBytesPerToken?: number
@@ -28,30 +28,30 @@
   decodeStepPerRequestMs?: number
   linkBytesPerSecond?: number
   prefillResultLifeMs?: number
-  /** Tokens of prompt prefixes that the cache holds. */
+  /** Capacity of the prefix cache in tokens. */
   cacheTokens?: number
   reportLagMs?: number
   cacheEventLagMs?: number
-  /** Refuses an order whose fencing number is not above the last. */
+  /** Whether the engine refuses an order whose fencing token is not above the last. */
   checksFence?: boolean
   loadModelMs?: number
-  /** Called when the engine has come to another role. */
-  onRole?: (role: EngineRole) => void
-  /** Called when the engine begins to decode a request. */
+  /** Called when the engine has changed its role. */
+  onRoleChanged?: (role: EngineRole) => void
+  /** Called when the engine starts to decode a request. */
   onRun?: (engine: string, prompt: string) => void
 }
 
-/** What can be made to go wrong. */
+/** Faults that can be injected into an engine. */
 export interface EngineFaults {
-  /** Imports do not end. */
+  /** Imports of prefill results never complete. */
   stallTransfers: boolean
-  /** The next decode events carry another request's label. */
+  /** Decode events carry another request's label. */
   crossAnswers: boolean
-  /** Every second token is sent twice. */
+  /** Tokens at odd positions are sent twice. */
   doubleTokens: boolean
-  /** The stream breaks after so many tokens; it goes on inside the engine. */
+  /** Position of the token after which the next stream's connection is lost. The engine continues to decode. */
   breakAfterTokens?: number
-  /** Cache events are lost. */
+  /** Evictions from the prefix cache are not reported. */
   loseCacheEvents: boolean
 }
 
@@ -71,7 +71,7 @@
   tokens: string[]
   importing: boolean
   cancelled: boolean
-  grown: Notifier
+  progress: Notifier
 }
 
 const DEFAULTS = {
@@ -93,15 +93,15 @@
 const MS_PER_SECOND = 1000
 
 /**
- * A model engine with continuous batching, small enough to be read. Time is the
- * clock's; nothing is computed. It does what it was told even when the one who
- * told it is gone, as the real ones do.
+ * Simulates a model engine with continuous batching: durations pass on the
+ * clock, and nothing is computed. Like real engines, it completes its work even
+ * if the requesting box has exited.
  */
 export class EngineModel {
   readonly faults: EngineFaults = { stallTransfers: false, crossAnswers: false, doubleTokens: false, loseCacheEvents: false }
-  /** Prompt ids in the order in which their prefills began. */
+  /** Prompt ids in the order in which their prefills started. */
   readonly prefillRuns: string[] = []
-  /** The same for decodes. */
+  /** Prompt ids in the order in which their decodes started. */
   readonly decodeRuns: string[] = []
   readonly orders: EngineOrder[] = []
   readonly stats = { prefilledTokens: 0, generatedTokens: 0, expiredPrefillTokens: 0, refusedDecodes: 0 }
@@ -111,15 +111,15 @@
   readonly #results = new Map<string, { label: HoldLabel, prompt: string, promptTokens: number, computedTokens: number, expiresAtMs: number, kvBytes: number }>()
   readonly #streams = new Map<string, Stream>()
   readonly #cache: PrefixCache
-  #computing?: { prefill: Prefill, endMs: number }
-  #stepping = false
-  #order = 0
+  #runningPrefill?: { prefill: Prefill, endMs: number }
+  #decoding = false
+  #nextSequence = 0
   #linkFreeAtMs = 0
   #role: EngineRole
   #loaded: LoadedModel[]
   #changing = false
   #fence = 0
-  #lagged: { atMs: number, report: EngineReport }[] = []
+  #pastReports: { atMs: number, report: EngineReport }[] = []
 
   constructor (opts: EngineModelOptions) {
     this.#opts = { ...DEFAULTS, ...opts }
@@ -151,49 +151,49 @@
   }
 
   prefill (request: PrefillRequest): Promise<PrefillResult> {
-    if (!this.#serves(request.model, EngineRole.Prefill)) return Promise.reject(refused('does not serve this model now'))
+    if (!this.#servesModel(request.model, EngineRole.Prefill)) return Promise.reject(refusal('does not serve this model now'))
     return new Promise((resolve, reject) => {
       this.#queue.push({
         request,
-        order: this.#order++,
+        order: this.#nextSequence++,
         cancelled: false,
         settle: (outcome) => outcome instanceof UpstreamError ? reject(outcome) : resolve(outcome),
       })
       this.#queue.sort((a, b) => b.request.priority - a.request.priority || a.order - b.order)
-      if (!this.#computing) void this.#compute()
+      if (!this.#runningPrefill) void this.#runPrefills()
     })
   }
 
-  /** Hands a result over to another engine; it is free here afterwards. */
+  /** Transfers a prefill result to another engine and frees it here. */
   async exportResult (label: HoldLabel): Promise<ExportedResult> {
     const result = this.#results.get(holdLabelKey(label))
-    if (!result) throw refused('has no such prefill result')
+    if (!result) throw refusal('has no such prefill result')
     this.#results.delete(holdLabelKey(label))
     return { prompt: result.prompt, promptTokens: result.promptTokens }
   }
 
   async * decode (request: DecodeRequest): AsyncGenerator<DecodeEvent> {
     const known = this.#streams.get(holdLabelKey(request.label))
-    const stream = known ?? await this.#open(request)
-    yield * this.#send(stream, request)
+    const stream = known ?? await this.#openStream(request)
+    yield * this.#sendTokens(stream, request)
   }
 
   release (label: HoldLabel): void {
     const key = holdLabelKey(label)
     const stream = this.#streams.get(key)
-    if (stream) this.#close(stream, true)
+    if (stream) this.#closeStream(stream, true)
     this.#results.delete(key)
-    const queued = [...this.#queue, ...this.#computing ? [this.#computing.prefill] : []]
+    const queued = [...this.#queue, ...this.#runningPrefill ? [this.#runningPrefill.prefill] : []]
     queued.filter(({ request }) => holdLabelKey(request.label) === key).forEach((prefill) => {
       prefill.cancelled = true
       prefill.settle(new UpstreamError(`${this.name}: released`, { mayHaveRun: true }))
     })
   }
 
-  /** The process ends: every answer under way breaks off. */
+  /** Simulates an exit of the process: all answers in progress are interrupted. */
   crash (): void {
     const running = [...this.#streams.values()].map(({ label }) => label)
-    const queued = [...this.#queue, ...this.#computing ? [this.#computing.prefill] : []].map(({ request }) => request.label);
+    const queued = [...this.#queue, ...this.#runningPrefill ? [this.#runningPrefill.prefill] : []].map(({ request }) => request.label);
     [...running, ...queued].forEach((label) => this.release(label))
   }
 
@@ -212,14 +212,14 @@
       fence: this.#fence,
       holds: this.holds(),
     }
-    this.#lagged = [...this.#lagged, { atMs: nowMs, report: now }].filter(({ atMs }) => atMs >= nowMs - 4 * this.#opts.reportLagMs)
-    const seen = this.#lagged.findLast(({ atMs }) => atMs <= nowMs - this.#opts.reportLagMs)?.report ?? now
-    return { ...now, placesUsed: seen.placesUsed, kvBytesUsed: seen.kvBytesUsed, prefillQueueMs: seen.prefillQueueMs }
+    this.#pastReports = [...this.#pastReports, { atMs: nowMs, report: now }].filter(({ atMs }) => atMs >= nowMs - 4 * this.#opts.reportLagMs)
+    const lagged = this.#pastReports.findLast(({ atMs }) => atMs <= nowMs - this.#opts.reportLagMs)?.report ?? now
+    return { ...now, placesUsed: lagged.placesUsed, kvBytesUsed: lagged.kvBytesUsed, prefillQueueMs: lagged.prefillQueueMs }
   }
 
   holds (): EngineHold[] {
     this.#expireResults()
-    const queued = [...this.#computing ? [this.#computing.prefill] : [], ...this.#queue].filter(({ cancelled }) => !cancelled)
+    const queued = [...this.#runningPrefill ? [this.#runningPrefill.prefill] : [], ...this.#queue].filter(({ cancelled }) => !cancelled)
     return [
       ...queued.map(({ request }) => ({ label: request.label, kind: HoldKind.Prefill, kvBytes: 0, tokensDone: 0 })),
       ...[...this.#results.values()].map(({ label, kvBytes }) => ({ label, kind: HoldKind.PrefillResult, kvBytes, tokensDone: 0 })),
@@ -233,7 +233,7 @@
 
   async order (order: EngineOrder): Promise<void> {
     if (this.#opts.checksFence) {
-      if (order.fence <= this.#fence) throw refused(`fencing number ${order.fence} is not above ${this.#fence}`)
+      if (order.fence <= this.#fence) throw refusal(`fencing token ${order.fence} is not above ${this.#fence}`)
       this.#fence = order.fence
     }
     this.orders.push(order)
@@ -246,23 +246,23 @@
 
   #changeRole (role: EngineRole): void {
     this.#role = role
-    this.#opts.onRole?.(role)
+    this.#opts.onRoleChanged?.(role)
   }
 
-  #serves (model: string, role: EngineRole): boolean {
+  #servesModel (model: string, role: EngineRole): boolean {
     return this.#role === role && !this.#changing && this.#loaded.some((loaded) => loaded.model === model)
   }
 
   #queueMs (): number {
-    const computingMs = this.#computing ? Math.max(0, this.#computing.endMs - this.#opts.clock.nowMs()) : 0
-    return this.#queue.reduce((sum, { request }) => sum + this.#costMs(tokensOfText(request.prompt), this.#cache.peek(prefixDigests(request.prompt))), computingMs)
+    const computingMs = this.#runningPrefill ? Math.max(0, this.#runningPrefill.endMs - this.#opts.clock.nowMs()) : 0
+    return this.#queue.reduce((sum, { request }) => sum + this.#prefillMs(tokensOfText(request.prompt), this.#cache.peek(prefixDigests(request.prompt))), computingMs)
   }
 
-  #costMs (promptTokens: number, cachedTokens: number): number {
+  #prefillMs (promptTokens: number, cachedTokens: number): number {
     return this.#opts.prefillBaseMs + (promptTokens - cachedTokens) * MS_PER_SECOND / this.#opts.prefillTokensPerSecond
   }
 
-  async #compute (): Promise<void> {
+  async #runPrefills (): Promise<void> {
     const { clock, kvBytesPerToken, prefillResultLifeMs } = this.#opts
     for (let prefill = this.#queue.shift(); prefill; prefill = this.#queue.shift()) {
       if (prefill.cancelled) continue
@@ -271,11 +271,11 @@
       const promptTokens = tokensOfText(prompt)
       const prefixes: PrefixDigest[] = prefixDigests(prompt)
       const cachedTokens = this.#cache.touch(prefixes)
-      const costMs = this.#costMs(promptTokens, cachedTokens)
-      this.#computing = { prefill, endMs: clock.nowMs() + costMs }
+      const costMs = this.#prefillMs(promptTokens, cachedTokens)
+      this.#runningPrefill = { prefill, endMs: clock.nowMs() + costMs }
       await clock.sleep(costMs)
       this.#cache.insert(prefixes, clock.nowMs(), this.faults.loseCacheEvents)
-      this.#computing = undefined
+      this.#runningPrefill = undefined
       this.stats.prefilledTokens += promptTokens - cachedTokens
       if (prefill.cancelled) continue
       const kvBytes = promptTokens * kvBytesPerToken
@@ -293,12 +293,12 @@
     })
   }
 
-  async #open (request: DecodeRequest): Promise<Stream> {
+  async #openStream (request: DecodeRequest): Promise<Stream> {
     const { clock, exportFrom, kvBytesPerToken, linkBytesPerSecond } = this.#opts
-    if (!this.#serves(request.model, EngineRole.Decode)) throw refused('does not serve this model now')
-    if (request.fromIndex > request.firstIndex) throw refused('has no such stream')
-    if (this.#streams.size >= this.#opts.placesTotal) this.#refuseDecode('has no free place')
-    const stream: Stream = { label: request.label, prompt: '', kvBytes: 0, firstIndex: request.firstIndex, endIndex: 0, tokens: [], importing: true, cancelled: false, grown: new Notifier() }
+    if (!this.#servesModel(request.model, EngineRole.Decode)) throw refusal('does not serve this model now')
+    if (request.fromIndex > request.firstIndex) throw refusal('has no such stream')
+    if (this.#streams.size >= this.#opts.placesTotal) this.#refuseDecode('has no free slot')
+    const stream: Stream = { label: request.label, prompt: '', kvBytes: 0, firstIndex: request.firstIndex, endIndex: 0, tokens: [], importing: true, cancelled: false, progress: new Notifier() }
     this.#streams.set(holdLabelKey(request.label), stream)
     try {
       const { prompt, promptTokens } = await exportFrom(request.prefillAddress, request.label)
@@ -312,50 +312,50 @@
       if (this.faults.stallTransfers) await new Promise(() => {})
       if (stream.cancelled) throw new UpstreamError(`${this.name}: released`, { mayHaveRun: true })
     } catch (thrown) {
-      this.#close(stream, true)
+      this.#closeStream(stream, true)
       throw thrown
     }
     stream.importing = false
     this.#opts.onRun?.(this.name, stream.prompt)
-    if (!this.#stepping) void this.#step()
+    if (!this.#decoding) void this.#runDecodeSteps()
     return stream
   }
 
   #refuseDecode (reason: string): never {
     this.stats.refusedDecodes++
-    throw refused(reason)
+    throw refusal(reason)
   }
 
-  /** One step of the batch gives each running stream one token. */
-  async #step (): Promise<void> {
+  /** Runs decode steps while streams are open; each step adds one token to every stream of the batch. */
+  async #runDecodeSteps (): Promise<void> {
     const { clock, decodeStepBaseMs, decodeStepPerRequestMs } = this.#opts
-    this.#stepping = true
-    for (let batch = this.#batch(); batch.length > 0; batch = this.#batch()) {
+    this.#decoding = true
+    for (let batch = this.#decodingStreams(); batch.length > 0; batch = this.#decodingStreams()) {
       await clock.sleep(decodeStepBaseMs + decodeStepPerRequestMs * batch.length)
       batch.filter(({ cancelled }) => !cancelled).forEach((stream) => {
         stream.tokens.push(tokenAt(stream.prompt, stream.firstIndex + stream.tokens.length))
         this.stats.generatedTokens++
-        if (stream.firstIndex + stream.tokens.length >= stream.endIndex) this.#close(stream, false)
-        stream.grown.notify()
+        if (stream.firstIndex + stream.tokens.length >= stream.endIndex) this.#closeStream(stream, false)
+        stream.progress.notify()
       })
     }
-    this.#stepping = false
+    this.#decoding = false
   }
 
-  #batch (): Stream[] {
+  #decodingStreams (): Stream[] {
     return [...this.#streams.values()].filter(({ importing }) => !importing)
   }
 
-  #close (stream: Stream, cancelled: boolean): void {
+  #closeStream (stream: Stream, cancelled: boolean): void {
     stream.cancelled = cancelled
     this.#streams.delete(holdLabelKey(stream.label))
-    stream.grown.notify()
+    stream.progress.notify()
   }
 
-  async * #send (stream: Stream, request: DecodeRequest): AsyncGenerator<DecodeEvent> {
+  async * #sendTokens (stream: Stream, request: DecodeRequest): AsyncGenerator<DecodeEvent> {
     const label = this.faults.crossAnswers ? { ...request.label, requestId: 'other' } : request.label
     for (let index = Math.max(request.fromIndex, stream.firstIndex); ; index++) {
-      while (index - stream.firstIndex >= stream.tokens.length && !this.#isOver(stream)) await stream.grown.wait()
+      while (index - stream.firstIndex >= stream.tokens.length && !this.#hasEnded(stream)) await stream.progress.wait()
       if (stream.cancelled) throw new UpstreamError(`${this.name}: released`, { mayHaveRun: true })
       if (index - stream.firstIndex >= stream.tokens.length) break
       const text = stream.tokens[index - stream.firstIndex]
@@ -369,11 +369,11 @@
     yield { label, end: true, count: stream.firstIndex + stream.tokens.length }
   }
 
-  #isOver (stream: Stream): boolean {
+  #hasEnded (stream: Stream): boolean {
     return stream.cancelled || (!stream.importing && stream.firstIndex + stream.tokens.length >= stream.endIndex)
   }
 }
 
-function refused (reason: string): UpstreamError {
+function refusal (reason: string): UpstreamError {
   return new UpstreamError(`the engine ${reason}`, { mayHaveRun: false, refused: true })
 }
--- a/__utils__/fakes/src/fakeClients.ts
+++ b/__utils__/fakes/src/fakeClients.ts
@@ -3,7 +3,7 @@
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
 import { type Collection, type HoldLabel } from '@reelspan/core.messages'
 import { type CacheEventPage, type DecodeEvent, type DecodeRequest, EngineClient, type EngineOrder, type EngineReport, type PrefillRequest, type PrefillResult, ServiceClient, type ServiceCall, type ServiceReply, type UpstreamCallOptions, UpstreamError, UpstreamPresence, UpstreamProbe } from '@reelspan/upstream.client'
-import { orAborted } from './orAborted.js'
+import { rejectOnAbort } from './orAborted.js'
 import { type EngineModel } from './engineModel.js'
 import { type FakeNetwork } from './fakeNetwork.js'
 import { type NodeClock } from './nodeClock.js'
@@ -13,12 +13,12 @@
 export interface FakeClientOptions<T> {
   clock: NodeClock
   network: FakeNetwork
-  /** Address of the process that calls. */
+  /** Address of the calling process. */
   address: string
   models: Map<string, T>
 }
 
-/** The way of one call to an upstream and back, with its cuts. */
+/** Carries calls from one process to upstreams over the fake network. */
 class FakeChannel<T> {
   readonly #opts: FakeClientOptions<T>
 
@@ -27,7 +27,7 @@
   }
 
   async call<R> (address: string, work: (model: T) => Promise<R> | R, { timeoutMs, signal }: UpstreamCallOptions): Promise<R> {
-    const outcome = await raceTimeout(this.#opts.clock, orAborted(this.#exchange(address, work), [signal], givenUp), timeoutMs)
+    const outcome = await raceTimeout(this.#opts.clock, rejectOnAbort(this.#exchange(address, work), [signal], abortedError), timeoutMs)
     if (outcome === TimedOut) throw new UpstreamError(`${address}: no answer in time`, { mayHaveRun: true })
     return outcome
   }
@@ -35,8 +35,8 @@
   async * stream<R> (address: string, work: (model: T) => AsyncIterable<R>, opts: UpstreamCallOptions): AsyncGenerator<R> {
     const iterator = (await this.call(address, async (model) => work(model)[Symbol.asyncIterator](), opts))
     while (true) {
-      const part = await this.#within(this.#nextPart(address, iterator), opts)
-      if (opts.signal?.aborted) throw givenUp()
+      const part = await this.#withTimeout(this.#nextPart(address, iterator), opts)
+      if (opts.signal?.aborted) throw abortedError()
       if (part.done) return
       yield part.value
     }
@@ -44,28 +44,28 @@
 
   async #nextPart<R> (address: string, iterator: AsyncIterator<R>): Promise<IteratorResult<R>> {
     const part = await iterator.next()
-    if (!await this.#opts.network.travel(address, this.#opts.address)) return never()
-    await this.#opts.clock.whileRunning()
+    if (!await this.#opts.network.deliver(address, this.#opts.address)) return never()
+    await this.#opts.clock.waitUntilRunning()
     return part
   }
 
-  async #within<R> (work: Promise<R>, { timeoutMs, signal }: UpstreamCallOptions): Promise<R> {
-    const outcome = await raceTimeout(this.#opts.clock, orAborted(work, [signal], givenUp), timeoutMs)
-    if (outcome === TimedOut) throw new UpstreamError('silent for too long', { mayHaveRun: true })
+  async #withTimeout<R> (work: Promise<R>, { timeoutMs, signal }: UpstreamCallOptions): Promise<R> {
+    const outcome = await raceTimeout(this.#opts.clock, rejectOnAbort(work, [signal], abortedError), timeoutMs)
+    if (outcome === TimedOut) throw new UpstreamError('no data in time', { mayHaveRun: true })
     return outcome
   }
 
   async #exchange<R> (address: string, work: (model: T) => Promise<R> | R): Promise<R> {
     const { network, models, clock, address: from } = this.#opts
-    await clock.whileRunning()
+    await clock.waitUntilRunning()
     if (!network.isAlive(from)) return never()
-    if (!await network.travel(from, address)) return never()
+    if (!await network.deliver(from, address)) return never()
     const model = models.get(address)
     if (!model) throw new UpstreamError(`${address}: connection refused`, { mayHaveRun: false })
     const answer = await work(model)
-    if (!models.has(address)) throw new UpstreamError(`${address}: died`, { mayHaveRun: true })
-    if (!await network.travel(address, from)) return never()
-    await clock.whileRunning()
+    if (!models.has(address)) throw new UpstreamError(`${address}: process exited`, { mayHaveRun: true })
+    if (!await network.deliver(address, from)) return never()
+    await clock.waitUntilRunning()
     return answer
   }
 }
@@ -100,10 +100,10 @@
 
   order (address: string, order: EngineOrder, opts: UpstreamCallOptions): Promise<void> {
     return this.#channel.call(address, async (engine) => {
-      // The engine accepts at once and carries the order out afterwards.
-      const carriedOut = engine.order(order)
-      await Promise.race([carriedOut, Promise.resolve()])
-      carriedOut.catch(() => {})
+      // The engine accepts the order at once and executes it afterwards.
+      const execution = engine.order(order)
+      await Promise.race([execution, Promise.resolve()])
+      execution.catch(() => {})
     }, opts)
   }
 }
@@ -124,9 +124,9 @@
 export interface FakeUpstreamProbeOptions {
   clock: NodeClock
   network: FakeNetwork
-  /** Address of the process that looks. */
+  /** Address of the probing process. */
   address: string
-  /** Whether an upstream's process runs at an address. */
+  /** Whether an upstream's process listens at an address. */
   isThere: (address: string) => boolean
 }
 
@@ -140,9 +140,9 @@
 
   async look (address: string): Promise<UpstreamPresence> {
     const { clock, network, address: from, isThere } = this.#opts
-    await clock.whileRunning()
-    const arrived = await network.travel(from, address) && await network.travel(address, from)
-    await clock.whileRunning()
+    await clock.waitUntilRunning()
+    const arrived = await network.deliver(from, address) && await network.deliver(address, from)
+    await clock.waitUntilRunning()
     if (!arrived) return UpstreamPresence.Silent
     return isThere(address) ? UpstreamPresence.Listens : UpstreamPresence.Refuses
   }
@@ -151,16 +151,16 @@
 export interface FakePlatformReaderOptions {
   clock: Clock
   platform: PlatformModel
-  /** Where the reader is. */
+  /** Address of the reader. */
   address: string
 }
 
-/** A platform that is silent does not let a reader connect. */
+/** After this time, a connection attempt to an unresponsive platform fails. */
 const PLATFORM_CONNECT_TIMEOUT_MS = 500
-/** An answer is waited for this much longer than the platform was asked to wait. */
+/** Added to the requested wait of a watch to get the timeout for its answer. */
 const PLATFORM_ANSWER_TIMEOUT_MS = 1000
 
-/** Reads a model of the platform, which may be silent to this reader alone. */
+/** Reads from the platform model, which may be unresponsive to some readers only. */
 export class FakePlatformReader extends PlatformReader {
   readonly #opts: FakePlatformReaderOptions
   #lastAnswerMs = Number.NEGATIVE_INFINITY
@@ -177,22 +177,22 @@
   async read (collection: Collection, sinceRevision: number, { waitMs, signal }: PlatformReadOptions): Promise<RevisionedContent> {
     const { clock, platform, address } = this.#opts
     const askedAtMs = clock.nowMs()
-    if (platform.silentTo.has(address)) await unanswered(clock, PLATFORM_CONNECT_TIMEOUT_MS, signal)
+    if (platform.silentTo.has(address)) await failAfter(clock, PLATFORM_CONNECT_TIMEOUT_MS, signal)
     const content = await platform.read(collection, sinceRevision, waitMs, signal)
-    if (platform.silentTo.has(address)) await unanswered(clock, askedAtMs + waitMs + PLATFORM_ANSWER_TIMEOUT_MS - clock.nowMs(), signal)
+    if (platform.silentTo.has(address)) await failAfter(clock, askedAtMs + waitMs + PLATFORM_ANSWER_TIMEOUT_MS - clock.nowMs(), signal)
     await clock.settle()
     this.#lastAnswerMs = clock.nowMs()
     return structuredClone(content)
   }
 }
 
-async function unanswered (clock: Clock, durationMs: number, signal?: AbortSignal): Promise<never> {
+async function failAfter (clock: Clock, durationMs: number, signal?: AbortSignal): Promise<never> {
   await clock.sleep(durationMs, { signal })
   throw new ReelspanError(ErrorCode.PlatformUnavailable, 'the platform did not answer in time')
 }
 
-function givenUp (): UpstreamError {
-  return new UpstreamError('given up', { mayHaveRun: true })
+function abortedError (): UpstreamError {
+  return new UpstreamError('aborted', { mayHaveRun: true })
 }
 
 function never (): Promise<never> {
--- a/__utils__/fakes/src/limitChecker.ts
+++ b/__utils__/fakes/src/limitChecker.ts
@@ -1,4 +1,4 @@
-/** A request that ran, and what it counted. */
+/** A request that ran, with its cost against the limit. */
 export interface CountedRun {
   atMs: number
   cost: number
@@ -8,16 +8,16 @@
   perSecond: number
   burst: number
   windowMs: number
-  /** Part by which a window may go beyond rate and burst. */
+  /** Share by which a window may exceed rate and burst. */
   overage: number
-  /** What may come on top of that. */
+  /** Absolute amount by which a window may exceed that. */
   slack: number
 }
 
 const MS_PER_SECOND = 1000
 
-/** The most that ran in any window of the rule's length, as a part of what may run there. Above 1 the rule is broken. */
-export function fullestWindow (runs: readonly CountedRun[], { perSecond, burst, windowMs, overage, slack }: LimitRule): number {
+/** Highest cost of any window of the rule's length, as a share of the allowed cost. The rule is broken above 1. */
+export function maxWindowUsage (runs: readonly CountedRun[], { perSecond, burst, windowMs, overage, slack }: LimitRule): number {
   const allowed = (perSecond * windowMs / MS_PER_SECOND + burst) * (1 + overage) + slack
   const sorted = [...runs].sort((a, b) => a.atMs - b.atMs)
   let oldest = 0
--- a/__utils__/fakes/src/noAccounts.ts
+++ b/__utils__/fakes/src/noAccounts.ts
@@ -1,6 +1,6 @@
 import { type BoxAdmission } from '@reelspan/accounts.admission'
 
-/** Takes every request in, for nobody: no client accounts are in use. */
+/** Admission without client accounts: admits every request. */
 export const NO_ACCOUNTS: BoxAdmission = {
   usesAccounts: false,
   isProved: true,
--- a/__utils__/fakes/src/nodeClock.ts
+++ b/__utils__/fakes/src/nodeClock.ts
@@ -1,16 +1,16 @@
 import { Clock, Notifier, type SleepOptions } from '@reelspan/core.env'
 
-/** The clock of one process on a shared clock. While the process is paused, time passes and nothing of it runs. */
+/** Clock of one process, derived from a shared clock. While the process is paused, time passes but its timers do not fire. */
 export class NodeClock extends Clock {
-  readonly #shared: Clock
+  readonly #sharedClock: Clock
   readonly #resumed = new Notifier()
   #paused = false
-  /** Time that its machine was suspended for, which its clock left out. */
-  #missedMs = 0
+  /** Total time for which the machine was suspended; this clock does not count it. */
+  #suspendedMs = 0
 
   constructor (shared: Clock) {
     super()
-    this.#shared = shared
+    this.#sharedClock = shared
   }
 
   get paused (): boolean {
@@ -18,27 +18,27 @@
   }
 
   nowMs (): number {
-    return this.#shared.nowMs() - this.#missedMs
+    return this.#sharedClock.nowMs() - this.#suspendedMs
   }
 
   async sleep (durationMs: number, opts: SleepOptions = {}): Promise<void> {
-    await this.#shared.sleep(durationMs, opts)
-    await this.whileRunning()
+    await this.#sharedClock.sleep(durationMs, opts)
+    await this.waitUntilRunning()
   }
 
   async settle (): Promise<void> {
-    await this.whileRunning()
+    await this.waitUntilRunning()
   }
 
   pause (): void {
     this.#paused = true
   }
 
-  /** The machine is suspended for a while. The clock does not count it. */
+  /** Simulates a suspended machine: the process is paused, and its clock does not count the time. */
   async suspendFor (durationMs: number): Promise<void> {
     this.pause()
-    await this.#shared.sleep(durationMs)
-    this.#missedMs += durationMs
+    await this.#sharedClock.sleep(durationMs)
+    this.#suspendedMs += durationMs
     this.resume()
   }
 
@@ -47,8 +47,8 @@
     this.#resumed.notify()
   }
 
-  /** Resolves at once, or when the process runs again. */
-  async whileRunning (): Promise<void> {
+  /** Resolves at once if the process is running, otherwise when it is resumed. */
+  async waitUntilRunning (): Promise<void> {
     while (this.#paused) await this.#resumed.wait()
   }
 }
--- a/__utils__/fakes/src/orAborted.ts
+++ b/__utils__/fakes/src/orAborted.ts
@@ -1,5 +1,5 @@
-/** The outcome of `work`, or a failure as soon as one of the signals is aborted. */
-export function orAborted<T> (work: Promise<T>, signals: readonly (AbortSignal | undefined)[], failure: () => Error): Promise<T> {
+/** Settles like `work`, or rejects with `failure` as soon as one of the signals is aborted. */
+export function rejectOnAbort<T> (work: Promise<T>, signals: readonly (AbortSignal | undefined)[], failure: () => Error): Promise<T> {
   return new Promise((resolve, reject) => {
     const abort = () => reject(failure())
     const watched = signals.filter((signal) => signal !== undefined)
--- a/__utils__/fakes/src/platformModel.ts
+++ b/__utils__/fakes/src/platformModel.ts
@@ -3,40 +3,40 @@
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
 import { Collection } from '@reelspan/core.messages'
 
-interface Snapshot {
+interface CollectionSnapshot {
   revision: number
   atMs: number
   entries: Map<string, ContentChange>
 }
 
-/** What the platform stood at, to come back from. */
-export type PlatformCopy = Record<Collection, Snapshot>
+/** State of the platform that it can be restored to. */
+export type PlatformSnapshot = Record<Collection, CollectionSnapshot>
 
 /** A published entry. A spec of null deletes it. */
 export type PublishedEntry = Pick<ContentChange, 'kind' | 'name' | 'spec'>
 
 const RATE_WINDOW_MS = 1000
 
-/** The platform's read service: two revisioned lists, of which that of boxes and upstreams lags. */
+/** Model of the platform's read service: two revisioned collections. The fleet's may lag behind. */
 export class PlatformModel {
-  /** Calls so far, a waiting watch counted as one. */
+  /** Number of calls so far; a waiting watch counts as one. */
   calls = 0
-  /** No call is answered. */
+  /** Whether all calls fail. */
   outage = false
-  /** Readers that get no answer, by address, while others do. */
+  /** Addresses of readers that get no answer. */
   readonly silentTo = new Set<string>()
-  /** Answers are what they were this long ago. */
+  /** Age of the state that reads return. */
   staleMs = 0
-  /** The list of boxes and upstreams shows changes this much later. */
+  /** Additional lag of the fleet's collection. */
   fleetLagMs = 0
   callsPerSecond = 2000
   readonly #clock: Clock
   readonly #changed = new Notifier()
-  readonly #history: Record<Collection, Snapshot[]>
+  readonly #history: Record<Collection, CollectionSnapshot[]>
   #recentCalls: number[] = []
   #era = 0
-  /** Of the declarations: their operator gives none twice, whatever becomes of the platform. */
-  #lastVersion = 0
+  /** Version of the declarations. Operators never reuse one, even after the platform was restored. */
+  #lastDeclarationsVersion = 0
 
   constructor (clock: Clock) {
     this.#clock = clock
@@ -48,10 +48,10 @@
     return this.#latest(collection).revision
   }
 
-  /** What an operator does from version control. Returns the new revision. */
+  /** Publishes changed entries and returns the new revision. */
   publish (collection: Collection, entries: readonly PublishedEntry[]): number {
     const { revision: before, entries: known } = this.#latest(collection)
-    const revision = collection === Collection.Declarations ? ++this.#lastVersion : before + 1
+    const revision = collection === Collection.Declarations ? ++this.#lastDeclarationsVersion : before + 1
     const next = new Map(known)
     entries.forEach(({ kind, name, spec }) => next.set(`${kind}/${name}`, { kind, name, spec, revision }))
     this.#history[collection].push({ revision, atMs: this.#clock.nowMs(), entries: next })
@@ -59,17 +59,17 @@
     return revision
   }
 
-  /** What stands there now. */
-  copy (): PlatformCopy {
+  /** Takes a snapshot of the current state. */
+  copy (): PlatformSnapshot {
     return { [Collection.Declarations]: this.#latest(Collection.Declarations), [Collection.Fleet]: this.#latest(Collection.Fleet) }
   }
 
-  /** Comes back from an older copy, in an era of its own: the list's revisions are given out again, the declarations' versions are not. */
-  restore (copy: PlatformCopy): void {
+  /** Restores a snapshot and starts a new era. Revisions of the fleet are assigned again, versions of the declarations are not. */
+  restore (copy: PlatformSnapshot): void {
     const atMs = this.#clock.nowMs()
-    const listed = copy[Collection.Fleet]
-    const revision = orderOf({ era: ++this.#era, revision: storeRevisionOf(listed.revision).revision })
-    const live = [...listed.entries].filter(([, { spec }]) => spec !== null)
+    const fleet = copy[Collection.Fleet]
+    const revision = orderOf({ era: ++this.#era, revision: storeRevisionOf(fleet.revision).revision })
+    const live = [...fleet.entries].filter(([, { spec }]) => spec !== null)
     this.#history[Collection.Fleet].push({ atMs, revision, entries: new Map(live.map(([id, entry]) => [id, { ...entry, revision }])) })
     this.#history[Collection.Declarations].push({ ...copy[Collection.Declarations], atMs })
     this.#changed.notify()
@@ -104,17 +104,17 @@
     return this.staleMs + (collection === Collection.Fleet ? this.fleetLagMs : 0)
   }
 
-  #latest (collection: Collection): Snapshot {
-    return this.#history[collection].at(-1) as Snapshot
+  #latest (collection: Collection): CollectionSnapshot {
+    return this.#history[collection].at(-1) as CollectionSnapshot
   }
 
-  #visible (collection: Collection): Snapshot {
+  #visible (collection: Collection): CollectionSnapshot {
     const untilMs = this.#clock.nowMs() - this.#lagOf(collection)
-    return this.#history[collection].findLast(({ atMs }) => atMs <= untilMs) as Snapshot
+    return this.#history[collection].findLast(({ atMs }) => atMs <= untilMs) as CollectionSnapshot
   }
 }
 
-function contentOf ({ revision, entries }: Snapshot, sinceRevision: number): RevisionedContent {
+function contentOf ({ revision, entries }: CollectionSnapshot, sinceRevision: number): RevisionedContent {
   const changes = [...entries.values()]
   return sinceRevision === 0 || storeRevisionOf(revision).era !== storeRevisionOf(sinceRevision).era
     ? { revision, full: true, changes: changes.filter(({ spec }) => spec !== null) }
--- a/__utils__/fakes/src/prefixCache.ts
+++ b/__utils__/fakes/src/prefixCache.ts
@@ -3,11 +3,11 @@
 
 const MAX_EVENTS = 500
 
-/** The prefix cache of a stand-in engine: least recently used prefixes go first, and that is told late. */
+/** LRU prefix cache of a fake engine. Its eviction events become visible after a delay. */
 export class PrefixCache {
   readonly #capacityTokens: number
   readonly #lagMs: number
-  /** Tokens that each cached prefix adds to the one before it. */
+  /** Number of tokens that each cached prefix adds to the next shorter one, least recently used first. */
   readonly #segments = new Map<string, number>()
   #usedTokens = 0
   #events: { sequence: number, digest: string, atMs: number }[] = []
@@ -18,12 +18,12 @@
     this.#lagMs = lagMs
   }
 
-  /** Tokens of the longest cached prefix. */
+  /** Number of tokens of the longest cached prefix. */
   peek (prefixes: readonly PrefixDigest[]): number {
     return prefixes.findLast(({ digest }) => this.#segments.has(digest))?.tokens ?? 0
   }
 
-  /** As `peek`, and counts as a use. */
+  /** Like `peek`, but marks the prefixes as used. */
   touch (prefixes: readonly PrefixDigest[]): number {
     const cachedTokens = this.peek(prefixes)
     prefixes.filter(({ tokens, digest }) => tokens <= cachedTokens && this.#segments.has(digest)).forEach(({ digest }) => {
--- a/__utils__/fakes/src/relayedUpstreams.ts
+++ b/__utils__/fakes/src/relayedUpstreams.ts
@@ -14,45 +14,45 @@
   sentAtMs: number
   /** When it reached the upstream. */
   atMs: number
-  /** Its prompt is only read. */
+  /** Whether it was sent for its prefill only. */
   prefill: boolean
 }
 
 export interface RelayedUpstreamsOptions {
   clock: Clock
   /** Whether an upstream's process runs at an address. */
-  isThere: (address: string) => boolean
-  /** An upstream's process ends. */
+  isRunning: (address: string) => boolean
+  /** Ends an upstream's process. */
   end: (address: string) => void
 }
 
-/** Time for which a request runs before its upstream ends under it. */
-const ENDS_AFTER_MS = 60
+/** How long a request runs before it crashes its upstream. */
+const CRASH_DELAY_MS = 60
 const EVENTS = 20
 const MS_PER_EVENT = 40
 const PREFILL_MS = 50
 
-/** The upstreams of a deployment, as far as relayed requests are concerned: what reaches and runs on which of them. */
+/** Simulates how the upstreams of a deployment run relayed requests, and records which requests reach them. */
 export class RelayedUpstreams {
   readonly arrivals: RelayedArrival[] = []
-  /** Upstreams that have ended under a request, in order. */
+  /** Crashes of upstreams caused by requests, in order. */
   readonly endedUnder: { id: string, target: string, address: string, atMs: number }[] = []
-  /** Whether an upstream that begins to run the request ends. */
+  /** Decides whether the request crashes the upstream that runs it. */
   endsUpstream: (request: RelayedRequest) => boolean = () => false
-  /** What an upstream advertises in its responses to a box. */
+  /** Signals that an upstream advertises in its responses to a box. */
   signalsOf: (upstream: string, boxAddress: string) => Partial<UpstreamSignals> = () => ({})
-  /** The status with which an upstream refuses a request without running it, if it does. */
+  /** Status with which an upstream refuses requests of a box without running them; undefined if it runs them. */
   refusalStatusOf: (upstream: string, boxAddress: string) => number | undefined = () => undefined
   readonly #opts: RelayedUpstreamsOptions
-  /** Aborted when the process at the address ends. */
+  /** By address; aborted when the process there exits. */
   readonly #processes = new Map<string, AbortController>()
 
   constructor (opts: RelayedUpstreamsOptions) {
     this.#opts = opts
   }
 
-  /** What runs at an address ends with its process. */
-  breakOff (address: string): void {
+  /** Interrupts all requests that run at an address, whose process has exited. */
+  abortRuns (address: string): void {
     this.#processes.get(address)?.abort()
     this.#processes.delete(address)
   }
@@ -60,13 +60,13 @@
   async prefill (target: RelayTarget, signal: AbortSignal): Promise<PrefilledPrompt> {
     const process = this.#processAt(target.address)
     await this.#opts.clock.sleep(PREFILL_MS, { signal: AbortSignal.any([signal, process]) })
-    if (process.aborted || signal.aborted) throw brokenOff(target.address)
+    if (process.aborted || signal.aborted) throw connectionClosed(target.address)
     return { handle: 'handle', promptTokens: 1 }
   }
 
   run (target: RelayTarget, request: RelayedRequest, { signal, resumeAfter }: RelayRunOptions): RelayAnswer {
     const process = this.#processAt(target.address)
-    if (this.endsUpstream(request)) void this.#endUnder(target.address, request)
+    if (this.endsUpstream(request)) void this.#crashDuring(target.address, request)
     const from = resumeAfter === undefined ? 0 : Number(resumeAfter) + 1
     return { status: 200, notRun: false, headers: [], body: this.#body(target.address, from, signal, process) }
   }
@@ -74,20 +74,20 @@
   async * #body (address: string, from: number, signal: AbortSignal, process: AbortSignal): AsyncGenerator<Uint8Array> {
     for (let i = from; i < EVENTS; i++) {
       await this.#opts.clock.sleep(MS_PER_EVENT, { signal: AbortSignal.any([signal, process]) })
-      if (process.aborted || signal.aborted) throw brokenOff(address)
+      if (process.aborted || signal.aborted) throw connectionClosed(address)
       yield Buffer.from(`id: ${i}\ndata: ${i}\n\n`)
     }
   }
 
-  async #endUnder (address: string, { id, target }: RelayedRequest): Promise<void> {
-    await this.#opts.clock.sleep(ENDS_AFTER_MS)
-    if (!this.#opts.isThere(address)) return
+  async #crashDuring (address: string, { id, target }: RelayedRequest): Promise<void> {
+    await this.#opts.clock.sleep(CRASH_DELAY_MS)
+    if (!this.#opts.isRunning(address)) return
     this.endedUnder.push({ id, target, address, atMs: this.#opts.clock.nowMs() })
     this.#opts.end(address)
   }
 
   #processAt (address: string): AbortSignal {
-    if (!this.#opts.isThere(address)) throw new UpstreamError(`${address} cannot be reached`, { mayHaveRun: false, unreachable: true })
+    if (!this.#opts.isRunning(address)) throw new UpstreamError(`${address} cannot be reached`, { mayHaveRun: false, unreachable: true })
     const known = this.#processes.get(address)
     if (known) return known.signal
     const process = new AbortController()
@@ -99,7 +99,7 @@
 export interface FakeRelayClientOptions {
   clock: NodeClock
   network: FakeNetwork
-  /** Address of the box that sends. */
+  /** Address of the sending box. */
   address: string
   upstreams: RelayedUpstreams
 }
@@ -113,19 +113,19 @@
   }
 
   async run (target: RelayTarget, request: RelayedRequest, opts: RelayRunOptions): Promise<RelayAnswer> {
-    await this.#arrive(target, request, opts, false)
+    await this.#deliver(target, request, opts, false)
     const status = this.#refusalStatusOf(target)
-    if (status !== undefined) return this.#refused(target, opts, status)
+    if (status !== undefined) return this.#refuse(target, opts, status)
     const answer = this.#opts.upstreams.run(target, request, opts)
     this.#advertise(target, opts, true)
     return answer
   }
 
   async prefill (target: RelayTarget, request: RelayedRequest, opts: RelayCallOptions): Promise<PrefilledPrompt> {
-    await this.#arrive(target, request, opts, true)
+    await this.#deliver(target, request, opts, true)
     const status = this.#refusalStatusOf(target)
     if (status !== undefined) {
-      this.#refused(target, opts, status)
+      this.#refuse(target, opts, status)
       throw new UpstreamError(`${target.instance} answered a prefill with ${status}`, { mayHaveRun: false, refused: true })
     }
     const prefilled = await this.#opts.upstreams.prefill(target, opts.signal)
@@ -140,9 +140,9 @@
     return upstreams.refusalStatusOf(instance, address)
   }
 
-  #refused (target: RelayTarget, opts: RelayCallOptions, status: number): RelayAnswer {
+  #refuse (target: RelayTarget, opts: RelayCallOptions, status: number): RelayAnswer {
     this.#advertise(target, opts, false)
-    return { status, notRun: true, headers: [], body: nothing() }
+    return { status, notRun: true, headers: [], body: emptyBody() }
   }
 
   #advertise ({ instance }: RelayTarget, { onSignals }: RelayCallOptions, succeeded: boolean): void {
@@ -150,27 +150,27 @@
     onSignals?.({ succeeded, ...upstreams.signalsOf(instance, address) })
   }
 
-  async #arrive (target: RelayTarget, { id, target: path }: RelayedRequest, { onSend, signal }: RelayCallOptions, prefill: boolean): Promise<void> {
+  async #deliver (target: RelayTarget, { id, target: path }: RelayedRequest, { onSend, signal }: RelayCallOptions, prefill: boolean): Promise<void> {
     const { clock, network, address, upstreams } = this.#opts
     const sentAtMs = clock.nowMs()
-    await clock.whileRunning()
-    if (!await network.travel(address, target.address)) return givenUp(signal, target.address)
+    await clock.waitUntilRunning()
+    if (!await network.deliver(address, target.address)) return rejectOnceAborted(signal, target.address)
     onSend?.()
     upstreams.arrivals.push({ id, target: path, upstream: target.instance, from: address, sentAtMs, atMs: clock.nowMs(), prefill })
   }
 }
 
-/** A way that is cut says nothing until the exchange is given up. */
-function givenUp (signal: AbortSignal, address: string): Promise<never> {
+/** A request on a blocked link gets no answer; it fails once the exchange is aborted. */
+function rejectOnceAborted (signal: AbortSignal, address: string): Promise<never> {
   return new Promise((_resolve, reject) => {
-    const giveUp = () => reject(new UpstreamError(`${address} cannot be reached`, { mayHaveRun: false, unreachable: true }))
-    if (signal.aborted) giveUp()
-    else signal.addEventListener('abort', giveUp, { once: true })
+    const rejectUnreachable = () => reject(new UpstreamError(`${address} cannot be reached`, { mayHaveRun: false, unreachable: true }))
+    if (signal.aborted) rejectUnreachable()
+    else signal.addEventListener('abort', rejectUnreachable, { once: true })
   })
 }
 
-async function * nothing (): AsyncGenerator<Uint8Array> {}
+async function * emptyBody (): AsyncGenerator<Uint8Array> {}
 
-function brokenOff (address: string): UpstreamError {
+function connectionClosed (address: string): UpstreamError {
   return new UpstreamError(`${address} closed the connection`, { mayHaveRun: true, unreachable: true })
 }
--- a/__utils__/fakes/src/seededRandom.ts
+++ b/__utils__/fakes/src/seededRandom.ts
@@ -1,6 +1,6 @@
 import { Random } from '@reelspan/core.env'
 
-/** A small generator that repeats itself for a seed (mulberry32, public domain). */
+/** Deterministic random number generator with a seed (mulberry32, public domain). */
 export class SeededRandom extends Random {
   #state: number
 
--- a/__utils__/fakes/src/serviceModel.ts
+++ b/__utils__/fakes/src/serviceModel.ts
@@ -7,12 +7,12 @@
   workMs?: number
 }
 
-/** A plain service that counts how often each request ran. */
+/** Simulates a service and counts how often each request ran. */
 export class ServiceModel {
   readonly name: string
-  /** Runs by request key. */
+  /** Number of runs by request key. */
   readonly runs = new Map<string, number>()
-  /** What can be made to go wrong: it runs the call, and the answer is lost; or it answers with another's key. */
+  /** Faults that can be injected: a call runs but its answer is lost, or the answer carries another request's key. */
   readonly faults = { loseAnswers: false, crossAnswers: false }
   readonly #clock: Clock
   readonly #workMs: number
--- a/__utils__/fakes/src/sleeperQueue.ts
+++ b/__utils__/fakes/src/sleeperQueue.ts
@@ -1,39 +1,39 @@
-/** Somebody who sleeps on a virtual clock. */
-export interface Sleeper {
+/** A pending timer of a virtual clock. */
+export interface Timer {
   atMs: number
-  /** Of those that wake at one moment, who fell asleep first wakes first. */
+  /** Timers with the same time fire in the order in which they were set. */
   order: number
-  awake: boolean
-  wake: () => void
+  fired: boolean
+  fire: () => void
 }
 
-/** Sleepers by the time at which they wake, as a binary heap: where hundreds of boxes run on one clock, thousands sleep at a time. */
-export class SleeperQueue {
-  readonly #heap: Sleeper[] = []
+/** Timers by the time at which they fire, as a binary heap, since hundreds of boxes on one clock have thousands of timers at a time. */
+export class TimerQueue {
+  readonly #heap: Timer[] = []
 
-  put (sleeper: Sleeper): void {
-    this.#heap.push(sleeper)
-    this.#raise(this.#heap.length - 1)
+  add (timer: Timer): void {
+    this.#heap.push(timer)
+    this.#siftUp(this.#heap.length - 1)
   }
 
-  /** Who wakes next. */
-  first (): Sleeper | undefined {
-    while (this.#heap[0]?.awake) this.#removeFirst()
+  /** The timer that fires next. */
+  first (): Timer | undefined {
+    while (this.#heap[0]?.fired) this.#removeFirst()
     return this.#heap[0]
   }
 
   #removeFirst (): void {
-    const last = this.#heap.pop() as Sleeper
+    const last = this.#heap.pop() as Timer
     if (this.#heap.length === 0) return
     this.#heap[0] = last
-    this.#lower(0)
+    this.#siftDown(0)
   }
 
-  #raise (at: number): void {
+  #siftUp (at: number): void {
     for (let i = at, parent = (i - 1) >> 1; i > 0 && this.#isBefore(i, parent); i = parent, parent = (i - 1) >> 1) this.#swap(i, parent)
   }
 
-  #lower (at: number): void {
+  #siftDown (at: number): void {
     for (let i = at, child = this.#earlierChild(i); child < this.#heap.length && this.#isBefore(child, i); i = child, child = this.#earlierChild(i)) this.#swap(i, child)
   }
 
--- a/__utils__/fakes/src/virtualClock.ts
+++ b/__utils__/fakes/src/virtualClock.ts
@@ -1,11 +1,11 @@
 import { Clock, type SleepOptions } from '@reelspan/core.env'
-import { type Sleeper, SleeperQueue } from './sleeperQueue.js'
+import { type Timer, TimerQueue } from './sleeperQueue.js'
 
-/** A clock that stands still until it is advanced. Sleepers wake in order of time, then of going to sleep. */
+/** A clock that only moves when it is advanced. Timers fire in the order of their times, then in the order in which they were set. */
 export class VirtualClock extends Clock {
-  readonly #sleepers = new SleeperQueue()
+  readonly #timers = new TimerQueue()
   #nowMs = 1000
-  #order = 0
+  #nextSequence = 0
 
   nowMs (): number {
     return this.#nowMs
@@ -14,36 +14,36 @@
   sleep (durationMs: number, { signal }: SleepOptions = {}): Promise<void> {
     if (signal?.aborted) return Promise.resolve()
     return new Promise((resolve) => {
-      const sleeper: Sleeper = {
+      const timer: Timer = {
         atMs: this.#nowMs + Math.max(0, durationMs),
-        order: this.#order++,
-        awake: false,
-        wake: () => {
-          sleeper.awake = true
-          signal?.removeEventListener('abort', sleeper.wake)
+        order: this.#nextSequence++,
+        fired: false,
+        fire: () => {
+          timer.fired = true
+          signal?.removeEventListener('abort', timer.fire)
           resolve()
         },
       }
-      this.#sleepers.put(sleeper)
-      signal?.addEventListener('abort', sleeper.wake, { once: true })
+      this.#timers.add(timer)
+      signal?.addEventListener('abort', timer.fire, { once: true })
     })
   }
 
   async settle (): Promise<void> {}
 
-  /** Lets time pass. Everything that becomes due runs in order. */
+  /** Advances the time and fires all timers that become due, in order. */
   async advance (durationMs: number): Promise<void> {
     const endMs = this.#nowMs + durationMs
     await drainMicrotasks()
-    for (let next = this.#nextUntil(endMs); next; next = this.#nextUntil(endMs)) {
+    for (let next = this.#nextTimer(endMs); next; next = this.#nextTimer(endMs)) {
       this.#nowMs = Math.max(this.#nowMs, next.atMs)
-      next.wake()
+      next.fire()
       await drainMicrotasks()
     }
     this.#nowMs = endMs
   }
 
-  /** Lets time pass until `work` is done. Throws when that takes longer than `limitMs`. */
+  /** Advances the time until `work` settles. Throws if that takes longer than `limitMs`. */
   async run<T> (work: Promise<T>, limitMs = 60_000): Promise<T> {
     const progress = { done: false }
     const settled = work.finally(() => { progress.done = true })
@@ -51,15 +51,15 @@
     const endMs = this.#nowMs + limitMs
     await drainMicrotasks()
     while (!progress.done) {
-      const next = this.#nextUntil(endMs)
+      const next = this.#nextTimer(endMs)
       if (!next) throw new Error(`not done after ${limitMs} ms`)
       await this.advance(next.atMs - this.#nowMs)
     }
     return settled
   }
 
-  #nextUntil (endMs: number): Sleeper | undefined {
-    const first = this.#sleepers.first()
+  #nextTimer (endMs: number): Timer | undefined {
+    const first = this.#timers.first()
     return first && first.atMs <= endMs ? first : undefined
   }
 }
--- a/__utils__/fuzz/src/oracle.ts
+++ b/__utils__/fuzz/src/oracle.ts
@@ -3,17 +3,18 @@
 import { Verdict } from '@reelspan/core.error'
 import { type CompletionRequest, RequestKind, type ServiceRequest } from '@reelspan/core.messages'
 
-/** A request that a caller sent, perhaps several times. */
+/** A request that callers sent once or several times. */
 export interface SentRequest {
   id: string
   request: CompletionRequest | ServiceRequest
-  /** Ends the caller's connections. */
+  /** Aborted to close the callers' connections. */
   gone: AbortController
   outcomes: Outcome[]
+  /** Number of attempts without an outcome yet. */
   waiting: number
 }
 
-/** All that the oracle knows: what was sent, what was answered, and the highest revision seen at each box. */
+/** Checks the guarantees that boxes give, from the requests sent, their outcomes, and the highest revision seen at each box. */
 export class Oracle {
   readonly sent: SentRequest[] = []
   readonly #revisions = new Map<object, number>()
@@ -23,26 +24,26 @@
     this.#fleet = fleet
   }
 
-  /** Sends a request through a box and notes its outcome, checking at once what must hold at that moment. */
-  send (one: SentRequest, boxName: string): void {
-    one.waiting++
-    void this.#fleet.send(boxName, one.request, one.gone.signal).then((outcome) => {
-      one.waiting--
-      one.outcomes.push(outcome)
-      if (outcome.verdict === Verdict.NotRun && this.runsOf(one) > 0) throw new Error(`${one.id}: answered «not run» after it ran`)
+  /** Sends a request to a box and records its outcome. An answer «not run» is checked when it arrives. */
+  send (entry: SentRequest, boxName: string): void {
+    entry.waiting++
+    void this.#fleet.send(boxName, entry.request, entry.gone.signal).then((outcome) => {
+      entry.waiting--
+      entry.outcomes.push(outcome)
+      if (outcome.verdict === Verdict.NotRun && this.runsOf(entry) > 0) throw new Error(`${entry.id}: answered «not run» after it ran`)
     }).catch((thrown) => this.failures.push(String(thrown)))
   }
 
   readonly failures: string[] = []
 
-  /** Times that upstreams began a request. */
+  /** Number of times that upstreams started to run a request. */
   runsOf ({ id, request }: SentRequest): number {
     if (request.kind === RequestKind.Service) return this.#fleet.serviceRuns(request.key)
     return this.#fleet.allEngines().flatMap(({ prefillRuns }) => prefillRuns).filter((run) => run === id).length
   }
 
-  /** What must hold at every moment. */
-  checkAlways (): void {
+  /** Checks what must hold at all times. */
+  checkInvariants (): void {
     if (this.failures.length > 0) throw new Error(this.failures[0])
     this.#fleet.liveBoxes().forEach((box) => {
       const { revision } = box.box.configuration
@@ -50,31 +51,31 @@
       if (revision < before) throw new Error(`${box.name}: revision fell from ${before} to ${revision}`)
       this.#revisions.set(box, revision)
     })
-    this.sent.filter(({ request }) => request.notRepeatable).forEach((one) => {
-      const runs = this.runsOf(one)
-      if (runs > 1) throw new Error(`${one.id}: ran ${runs} times and may run once`)
+    this.sent.filter(({ request }) => request.notRepeatable).forEach((entry) => {
+      const runs = this.runsOf(entry)
+      if (runs > 1) throw new Error(`${entry.id}: ran ${runs} times and may run once`)
     })
   }
 
-  /** What must hold once everything has come to rest. */
-  checkAtRest (): void {
-    this.checkAlways()
-    this.sent.forEach((one) => this.#checkAnswers(one))
+  /** Checks what must hold once all activity has ended. */
+  checkQuiescent (): void {
+    this.checkInvariants()
+    this.sent.forEach((entry) => this.#checkAnswers(entry))
     const holds = this.#fleet.holds()
-    if (holds.length > 0) throw new Error(`held for nobody: ${holds.map(({ engine, kind, label }) => `${engine} ${kind} ${label.requestId}`).join(', ')}`)
+    if (holds.length > 0) throw new Error(`holds without a request: ${holds.map(({ engine, kind, label }) => `${engine} ${kind} ${label.requestId}`).join(', ')}`)
   }
 
-  #checkAnswers (one: SentRequest): void {
-    if (one.waiting > 0) throw new Error(`${one.id}: ${one.waiting} callers still wait`)
-    const finished = one.outcomes.filter(({ verdict }) => verdict === Verdict.Finished)
-    const expected = this.#expected(one)
+  #checkAnswers (entry: SentRequest): void {
+    if (entry.waiting > 0) throw new Error(`${entry.id}: ${entry.waiting} callers still waiting`)
+    const finished = entry.outcomes.filter(({ verdict }) => verdict === Verdict.Finished)
+    const isExpected = this.#answerMatcher(entry)
     finished.forEach(({ text }) => {
-      if (!expected(text)) throw new Error(`${one.id}: got an answer that is not whole or not its own: ${text.slice(0, 80)}`)
+      if (!isExpected(text)) throw new Error(`${entry.id}: got an answer that is incomplete or belongs to another request: ${text.slice(0, 80)}`)
     })
-    if (new Set(finished.map(({ text }) => text)).size > 1) throw new Error(`${one.id}: got two different answers`)
+    if (new Set(finished.map(({ text }) => text)).size > 1) throw new Error(`${entry.id}: got two different answers`)
   }
 
-  #expected ({ request }: SentRequest): (text: string) => boolean {
+  #answerMatcher ({ request }: SentRequest): (text: string) => boolean {
     if (request.kind === RequestKind.Completion) return (text) => text === expectedAnswer(request.prompt, request.maxTokens)
     return (text) => text.includes(request.key)
   }
--- a/__utils__/fuzz/src/runFuzz.ts
+++ b/__utils__/fuzz/src/runFuzz.ts
@@ -1,16 +1,16 @@
 import { FakeFleet } from '@reelspan/utils.fake-fleet'
 import fc from 'fast-check'
-import { comeToRest, type EmptyModel, STEPS, type World } from './commands.js'
+import { quiesce, type EmptyModel, STEPS, type FuzzContext } from './commands.js'
 import { Oracle } from './oracle.js'
 
 export interface FuzzOptions {
   seed: number
   runs: number
-  /** Steps of one run at most. */
+  /** Maximum number of steps of one run. */
   maxSteps?: number
-  /** Replays one run of a seed, as fast-check prints it. */
+  /** Replays one run of a seed; the path is printed by fast-check with the failure. */
   path?: string
-  /** Report the first failing run as it is, without looking for a shorter one. */
+  /** Reports the first failing run as it is, without shrinking it. */
   noShrink?: boolean
 }
 
@@ -20,15 +20,15 @@
   requests: { lookupKeepMs: 1000, longestRequestMs: 10_000, prefixLifeMs: 60_000 },
 }
 
-/** Runs random steps on a small fleet and checks them against the oracle. Throws with the seed and the shortest failing run found. */
+/** Runs random steps on a small fleet and checks the result with the oracle. Throws with the seed and the shortest failing run found. */
 export async function runFuzz ({ seed, runs, path, noShrink = false, maxSteps = MAX_STEPS }: FuzzOptions): Promise<void> {
   const property = fc.asyncProperty(fc.commands(STEPS, { maxCommands: maxSteps, size: 'max' }), fc.nat(), async (steps, fleetSeed) => {
     const fleet = await new FakeFleet({ boxCount: BOXES, seed: fleetSeed, settings: SETTINGS }).start()
-    const world: World = { fleet, oracle: new Oracle(fleet) }
+    const context: FuzzContext = { fleet, oracle: new Oracle(fleet) }
     const model: EmptyModel = {}
-    await fc.asyncModelRun(() => ({ model, real: world }), steps)
-    await comeToRest(world)
-    world.oracle.checkAtRest()
+    await fc.asyncModelRun(() => ({ model, real: context }), steps)
+    await quiesce(context)
+    context.oracle.checkQuiescent()
     await fleet.stop()
   })
   await fc.assert(property, { seed, path, numRuns: runs, endOnFailure: noShrink, includeErrorInReport: true })
--- a/__utils__/platform-stand-ins/src/publish.ts
+++ b/__utils__/platform-stand-ins/src/publish.ts
@@ -1,8 +1,8 @@
-import { CONFIGURATION, entryOf } from './samples.js'
+import { SAMPLE_CONFIGURATION, sampleUpstreamEntry } from './samples.js'
 import { type StandInStore } from './standInStore.js'
 import { Role } from './standInUpstream.js'
 
-/** An upstream as it enters itself in the store. */
+/** An upstream's registration in the store. */
 export interface UpstreamEntry {
   instance: string
   role: Role
@@ -11,32 +11,32 @@
   sequence: number
 }
 
-/** A client account as it is published. */
+/** A client account in the published configuration. */
 export interface PublishedAccount {
   name: string
   keys: readonly string[]
 }
 
-/** Publishes the sample's routes, without shares, and one more of services. Answers the path of that one. */
+/** Publishes the sample routes without their traffic split, and an additional service route whose path it returns. */
 export function publishRoutes (store: StandInStore, version: number, account?: PublishedAccount): string {
   const path = `/probe-${version}/`
   const probe = { name: 'r-probe', host: 'scripts.example', path_prefix: path, kind: 'safe', timeout_ms: 1200, service: 'desk', max_attempts: 2 }
-  const routes = CONFIGURATION.routes.map((route) => ({ ...route, traffic_split: undefined, service: route.service ?? 'llm' }))
-  store.put('op/config', { ...CONFIGURATION, version, routes: [...routes, probe], ...account ? { tenants: [{ name: account.name, api_keys: account.keys }] } : {} })
+  const routes = SAMPLE_CONFIGURATION.routes.map((route) => ({ ...route, traffic_split: undefined, service: route.service ?? 'llm' }))
+  store.put('op/config', { ...SAMPLE_CONFIGURATION, version, routes: [...routes, probe], ...account ? { tenants: [{ name: account.name, api_keys: account.keys }] } : {} })
   return path
 }
 
-export function enterUpstream (store: StandInStore, { instance, role, address, leaving, sequence }: UpstreamEntry): void {
-  const place = role === Role.Service ? { service: 'desk' } : { service: 'llm', stage: role }
-  store.put(keyOf(instance), entryOf({ ...place, address, state: leaving ? 'draining' : 'ready', sequence }))
+export function registerUpstream (store: StandInStore, { instance, role, address, leaving, sequence }: UpstreamEntry): void {
+  const assignment = role === Role.Service ? { service: 'desk' } : { service: 'llm', stage: role }
+  store.put(keyOf(instance), sampleUpstreamEntry({ ...assignment, address, state: leaving ? 'draining' : 'ready', sequence }))
 }
 
 export function removeUpstream (store: StandInStore, instance: string): void {
   store.delete(keyOf(instance))
 }
 
-/** Upstreams that have an entry. */
-export function listedInstances (store: StandInStore): string[] {
+/** Instances with an entry in the store. */
+export function registeredInstances (store: StandInStore): string[] {
   return store.keys(keyOf('')).map((key) => key.slice(keyOf('').length))
 }
 
--- a/__utils__/platform-stand-ins/src/samples.ts
+++ b/__utils__/platform-stand-ins/src/samples.ts
@@ -1,5 +1,5 @@
-/** A configuration as the platform publishes it: a model's service and a plain one. */
-export const CONFIGURATION = {
+/** A configuration as the platform publishes it, with a model service and a plain service. */
+export const SAMPLE_CONFIGURATION = {
   version: 7,
   routes: [
     { name: 'r-draft', host: 'scripts.example', path_prefix: '/draft/', kind: 'streaming', timeout_ms: 14_000, target_latency_ms: 900, priority: 1, traffic_split: [{ service: 'llm', weight: 90 }, { service: 'desk', weight: 10 }], max_attempts: 1, allow_resume: false, gap_target_ms: 300, session_affinity: true },
@@ -14,13 +14,13 @@
   limits: { max_header_bytes: 16_384, max_body_bytes: 4_194_304, header_timeout_ms: 3000, idle_timeout_ms: 15_000 },
 }
 
-/** An upstream's entry as it writes it. */
-export function entryOf (over: Record<string, unknown> = {}) {
-  return { service: 'desk', address: '10.0.0.9:8080', zone: 'hall-a', version: 'v1', slots: 6, state: 'ready', cold_left_ms: 0, sequence: 1, ...over }
+/** An upstream's entry as it writes it to the store. */
+export function sampleUpstreamEntry (overrides: Record<string, unknown> = {}) {
+  return { service: 'desk', address: '10.0.0.9:8080', zone: 'hall-a', version: 'v1', slots: 6, state: 'ready', cold_left_ms: 0, sequence: 1, ...overrides }
 }
 
-/** The settings file of a box. */
-export const SETTINGS_FILE = `node=front-hall-a-1
+/** A sample of a box's settings file. */
+export const SAMPLE_SETTINGS_FILE = `node=front-hall-a-1
 role=box
 zone=hall-a
 listen.front=10.1.0.38:8149
@@ -36,7 +36,7 @@
 something.new=1
 `
 
-/** Where a box listens. */
+/** Listening addresses of a box. */
 export interface BoxAddresses {
   front: string
   ready: string
@@ -44,8 +44,8 @@
   directory: string
 }
 
-/** The settings file of a box. */
-export function settingsFileText (box: { name: string, zone: string, addresses: BoxAddresses, seeds: readonly string[], store: string }, more: readonly string[] = []): string {
+/** Formats the settings file of a box. */
+export function settingsFileText (box: { name: string, zone: string, addresses: BoxAddresses, seeds: readonly string[], store: string }, extraLines: readonly string[] = []): string {
   const { name, zone, addresses, seeds, store } = box
   return [
     `node=${name}`,
@@ -57,12 +57,12 @@
     'bounds.grace_s=8',
     'bounds.budget_slack=58',
     'bounds.retry_budget=0.2',
-    ...more,
+    ...extraLines,
     '',
   ].join('\n')
 }
 
-/** The headers of a client's attempt. A prompt makes it a stream's. */
+/** Headers of a client's attempt. With a prompt, it is an attempt for a model route. */
 export function requestHeaders (id: string, opts: { deadlineMs?: number, prompt?: string, key?: string }): Record<string, string> {
   return {
     host: 'scripts.example',
--- a/__utils__/platform-stand-ins/src/standInStore.ts
+++ b/__utils__/platform-stand-ins/src/standInStore.ts
@@ -12,39 +12,39 @@
   value?: string | Uint8Array
 }
 
-/** What a store stood at, to restore it from. */
-export interface StoreCopy {
+/** State of a store that it can be restored to. */
+export interface StoreSnapshot {
   items: ReadonlyMap<string, Item>
   revision: number
   history: readonly Change[]
 }
 
-/** A small stand-in for the platform's store: one page at a time, watches, a history that can be forgotten, and copies to come back from. */
+/** A small stand-in for the platform's store, with paged reads, watches, history compaction and restorable snapshots. */
 export class StandInStore {
   readonly #items = new Map<string, Item>()
-  /** What reads are answered from while they are stale. */
-  #stale?: { items: Map<string, Item>, revision: number }
+  /** State that reads are answered from while they are stale. */
+  #staleSnapshot?: { items: Map<string, Item>, revision: number }
   #history: Change[] = []
   readonly #server: Server
-  readonly #waiting = new Set<() => void>()
+  readonly #waitingWatches = new Set<() => void>()
   #revision = 0
-  #forgottenUpTo = 0
-  /** Calls answered so far, by path. */
+  #compactedUpTo = 0
+  /** Paths of all calls so far. */
   readonly calls: string[] = []
-  /** Every call is answered with this while it is set. */
+  /** Status of all responses while it is set. */
   failWith?: number
-  /** Calls get no answer while this is set. */
+  /** Whether calls get no response. */
   mute = false
-  /** Every answer is this late. */
+  /** Delay of each response. */
   delayMs = 0
   itemsPerPage = 2
-  /** How often the store came back from an older copy. Answers have no such header while it is undefined. */
+  /** Number of restores from a snapshot, sent as a header. Responses have no such header while it is undefined. */
   era?: number
-  /** Every watch is told that its history is gone. */
+  /** Whether all watches are rejected as if their history was compacted. */
   failWatches = false
   /** Called before a call is answered. */
   onCall?: () => void
-  /** In place of the era in the header of every answer. */
+  /** Sent instead of the era in the header of each response, if set. */
   eraText?: string
 
   constructor () {
@@ -82,43 +82,43 @@
     return [...this.#items.keys()].filter((key) => key.startsWith(prefix))
   }
 
-  /** From now on reads, but not watches, show what stands now. */
+  /** From now on, reads return the present state, while watches continue to return changes. */
   answerStaleReads (): void {
-    this.#stale = { items: new Map(this.#items), revision: this.#revision }
+    this.#staleSnapshot = { items: new Map(this.#items), revision: this.#revision }
   }
 
   answerFreshReads (): void {
-    this.#stale = undefined
+    this.#staleSnapshot = undefined
   }
 
-  /** Watches from before now, those that wait included, are told that their history is gone. */
+  /** Rejects watches that start before the present revision, including those that are waiting. */
   forgetHistory (): void {
-    this.#forgottenUpTo = this.#revision
+    this.#compactedUpTo = this.#revision
     this.#history.length = 0;
-    [...this.#waiting].forEach((wake) => wake())
+    [...this.#waitingWatches].forEach((wake) => wake())
   }
 
-  /** What the store stands at now. */
-  copy (): StoreCopy {
+  /** Takes a snapshot of the current state. */
+  copy (): StoreSnapshot {
     return { items: new Map(this.#items), revision: this.#revision, history: [...this.#history] }
   }
 
-  /** Comes back as the copy says: what was written since is gone, its revisions are given out again, and connections are closed. */
-  restore ({ items, revision, history }: StoreCopy, { closes = true } = {}): void {
+  /** Restores a snapshot: later writes are lost, their revisions are assigned again, and connections are closed. */
+  restore ({ items, revision, history }: StoreSnapshot, { closes: closeConnections = true } = {}): void {
     this.#items.clear()
     items.forEach((item, key) => this.#items.set(key, item))
     this.#revision = revision
     this.#history = [...history]
     this.era = (this.era ?? 0) + 1
-    this.#waiting.clear()
-    if (closes) this.#server.closeAllConnections()
+    this.#waitingWatches.clear()
+    if (closeConnections) this.#server.closeAllConnections()
   }
 
   #change (change: Change): void {
     if (change.value === undefined) this.#items.delete(change.key)
     else this.#items.set(change.key, { value: change.value, revision: change.revision })
     this.#history.push(change);
-    [...this.#waiting].forEach((wake) => wake())
+    [...this.#waitingWatches].forEach((wake) => wake())
   }
 
   #serve (url: URL, response: ServerResponse): void {
@@ -132,50 +132,50 @@
       return
     }
     const query = url.searchParams
-    if (url.pathname === '/v1/kv-key') return this.#item(query.get('private_key') ?? '', response)
-    if (url.pathname === '/v1/kv-range') return this.#page(query.get('path_prefix') ?? '', query.get('after') ?? '', response)
+    if (url.pathname === '/v1/kv-key') return this.#sendItem(query.get('private_key') ?? '', response)
+    if (url.pathname === '/v1/kv-range') return this.#sendPage(query.get('path_prefix') ?? '', query.get('after') ?? '', response)
     this.#watch(query.get('path_prefix') ?? '', Number(query.get('after')), Number(query.get('wait_ms')), response)
   }
 
-  #item (key: string, response: ServerResponse): void {
+  #sendItem (key: string, response: ServerResponse): void {
     const { items, revision } = this.#readable
     const item = items.get(key)
     if (!item) {
       response.writeHead(404).end()
       return
     }
-    json(response, { ...wireItem(key, item), store_revision: revision })
+    sendJson(response, { ...toWireItem(key, item), store_revision: revision })
   }
 
-  #page (prefix: string, after: string, response: ServerResponse): void {
+  #sendPage (prefix: string, after: string, response: ServerResponse): void {
     const { items, revision } = this.#readable
     const matching = [...items].filter(([key]) => key.startsWith(prefix) && key > after).sort(([a], [b]) => a < b ? -1 : 1)
     const page = matching.slice(0, this.itemsPerPage)
-    json(response, { items: page.map(([key, item]) => wireItem(key, item)), has_more: matching.length > page.length, store_revision: revision })
+    sendJson(response, { items: page.map(([key, item]) => toWireItem(key, item)), has_more: matching.length > page.length, store_revision: revision })
   }
 
   get #readable () {
-    return this.#stale ?? { items: this.#items, revision: this.#revision }
+    return this.#staleSnapshot ?? { items: this.#items, revision: this.#revision }
   }
 
   #watch (prefix: string, after: number, waitMs: number, response: ServerResponse): void {
     const answer = () => {
-      this.#waiting.delete(wake)
+      this.#waitingWatches.delete(wake)
       clearTimeout(timer)
-      if (this.failWatches || after < this.#forgottenUpTo || after > this.#revision) {
+      if (this.failWatches || after < this.#compactedUpTo || after > this.#revision) {
         response.writeHead(410).end()
         return
       }
       const events = this.#changesAfter(prefix, after).map(({ key, revision, value }) => value === undefined
         ? { private_key: key, revision, deleted: true }
-        : wireItem(key, { value, revision }))
-      json(response, { events, store_revision: this.#revision })
+        : toWireItem(key, { value, revision }))
+      sendJson(response, { events, store_revision: this.#revision })
     }
     const wake = () => {
-      if (this.failWatches || after < this.#forgottenUpTo || after > this.#revision || this.#changesAfter(prefix, after).length > 0) answer()
+      if (this.failWatches || after < this.#compactedUpTo || after > this.#revision || this.#changesAfter(prefix, after).length > 0) answer()
     }
     const timer = setTimeout(answer, waitMs)
-    this.#waiting.add(wake)
+    this.#waitingWatches.add(wake)
     wake()
   }
 
@@ -184,10 +184,10 @@
   }
 }
 
-function wireItem (key: string, { value, revision }: Item) {
+function toWireItem (key: string, { value, revision }: Item) {
   return { private_key: key, value: Buffer.from(value).toString('base64'), revision, create_rev: revision, lease: 0 }
 }
 
-function json (response: ServerResponse, body: unknown): void {
+function sendJson (response: ServerResponse, body: unknown): void {
   response.writeHead(200, { 'Content-Type': 'application/json' }).end(JSON.stringify(body))
 }
--- a/__utils__/platform-stand-ins/src/standInUpstream.ts
+++ b/__utils__/platform-stand-ins/src/standInUpstream.ts
@@ -8,53 +8,53 @@
   Service = 'service',
 }
 
-/** One run of a request, as the upstream saw it. */
+/** One run of a request, as recorded by the upstream. */
 export interface UpstreamRun {
   id: string
   instance: string
   path: string
-  /** On `performance.now()`. */
+  /** As of `performance.now()`. */
   beganAtMs: number
   /** Unset while it runs. */
   endedAtMs?: number
-  /** The whole answer was written, and its connection stood. */
+  /** Whether the answer was written completely to an open connection. */
   whole: boolean
-  /** It ran, and its answer was lost on purpose. */
+  /** Whether the answer was lost by an injected fault or by stopping the upstream. */
   answerLost: boolean
-  /** Where a stream was taken up, if it was. */
+  /** Last event id of the caller, if a stream was resumed. */
   resumedAfter?: number
 }
 
-/** A request that reached an upstream and was not turned away as another instance's, run or not. */
+/** A request that reached the instance it was sent to, whether it ran or not. */
 export interface UpstreamArrival {
   id: string
   instance: string
-  /** On `performance.now()`. */
+  /** As of `performance.now()`. */
   atMs: number
 }
 
-/** How much work a request is. */
+/** Amount of work of a request. */
 export interface RequestShape {
-  /** Events of a stream. */
+  /** Number of events of a stream. */
   events: number
-  /** Work of a call, or the pause between two events of a stream. */
+  /** Duration of a call, or the interval between two events of a stream. */
   workMs: number
 }
 
-/** What an upstream received beside a body. */
-export interface ReceivedHead {
+/** Headers and trailers that an upstream received with a call. */
+export interface ReceivedHeaders {
   path: string
-  /** It was a client's request. */
+  /** Whether it was a client's request. */
   isRequest: boolean
-  /** Client accounts that it was said to be for. */
+  /** Client accounts named in the headers. */
   accounts: string[]
-  /** It brought a header for keys. */
+  /** Whether it had an authorization header. */
   hasKey: boolean
-  /** Names and values of headers and trailers, a line each. */
+  /** Names and values of headers and trailers, one per line. */
   text: string
 }
 
-/** Which prefill results are there to be taken, over all engines of a deployment. */
+/** Handles of the available prefill results of all engines of a deployment. */
 export class HandleTable {
   readonly #held = new Set<string>()
 
@@ -62,46 +62,46 @@
     return this.#held.size
   }
 
-  put (handle: string): void {
+  add (handle: string): void {
     this.#held.add(handle)
   }
 
-  /** Whether it was there. */
-  take (handle: string): boolean {
+  /** Removes a handle and returns whether it existed. */
+  consume (handle: string): boolean {
     return this.#held.delete(handle)
   }
 }
 
 export interface StandInUpstreamOptions {
-  /** Requests that expect another instance are refused. */
+  /** Id of the instance; requests that expect another instance are refused. */
   instance?: string
-  /** When it started, as it says itself. It says nothing without. */
+  /** Reported start time; reports have none if it is undefined. */
   bornMs?: number
-  /** Work of a call, or the pause between two events of a stream. */
+  /** Duration of a call, or the interval between two events of a stream. */
   workMs?: number
-  /** The shape of some requests, by their ids. */
+  /** Returns the amount of work of a request by its id; undefined selects the default. */
   shapeOf?: (id: string) => RequestShape | undefined
   handles?: HandleTable
   /** How long a prefill result is kept. */
   handleLifeMs?: number
-  /** Decides whether to refuse a request unrun. */
+  /** Decides whether to refuse a request without running it. */
   refuses?: () => boolean
   /** Decides whether the answer of a run is lost. */
   losesAnswer?: () => boolean
-  /** Headers about itself that stand on each of its responses. */
+  /** Headers with the upstream's signals, added to each response. */
   advertises?: () => Readonly<Record<string, string>>
-  /** What its reports say of its standing. */
+  /** State given in its reports. */
   reportedState?: () => string
-  /** Called when it begins to run a request. */
+  /** Called when a request starts to run. */
   onRun?: (run: UpstreamRun) => void
-  /** Status of its answer to an order; nothing when it does not answer one. */
+  /** Status of the response to an order; undefined if orders get no response. */
   orderStatus?: () => number | undefined
   port?: number
 }
 
 const EVENTS = 4
 
-/** A small stand-in for one of the platform's upstreams: it reads prompts, streams tokens, or answers calls. */
+/** A small stand-in for an upstream of the platform, which prefills prompts, streams tokens or answers calls. */
 export class StandInUpstream {
   readonly #role: Role
   readonly #opts: StandInUpstreamOptions
@@ -110,9 +110,9 @@
   #nextHandle = 0
   readonly runs: UpstreamRun[] = []
   readonly arrivals: UpstreamArrival[] = []
-  /** Everything that reached it, calls that are no requests too. */
-  readonly received: ReceivedHead[] = []
-  /** Orders that reached it: their bodies, and the instance that they were for. */
+  /** Headers of all calls received, not only of requests. */
+  readonly received: ReceivedHeaders[] = []
+  /** Bodies of the orders received, and the instances that they were addressed to. */
   readonly orders: { body: unknown, expected?: string }[] = []
   address = ''
 
@@ -123,7 +123,7 @@
     this.#server = createServer((message, response) => {
       const parts: Buffer[] = []
       message.on('data', (part: Buffer) => parts.push(part))
-      message.on('end', () => { this.received.push(headOf(message)) })
+      message.on('end', () => { this.received.push(receivedHeadersOf(message)) })
       message.on('end', () => { void this.#serve(message, response, Buffer.concat(parts).toString()) })
       response.on('error', () => {})
     })
@@ -134,7 +134,7 @@
     return this.runs.map(({ id }) => id)
   }
 
-  /** Handles that nobody has taken or freed. */
+  /** Number of handles that were neither used nor freed. */
   get handlesLeft (): number {
     return this.#handles.size
   }
@@ -145,7 +145,7 @@
     this.address = `127.0.0.1:${(this.#server.address() as { port: number }).port}`
   }
 
-  /** Ends at once. What still runs is cut off by it. */
+  /** Stops at once and interrupts the requests that are running. */
   stop (): void {
     this.runs.filter(({ endedAtMs }) => endedAtMs === undefined).forEach((run) => { run.answerLost = true })
     this.#server.closeAllConnections()
@@ -156,9 +156,9 @@
     const { url = '', method, headers } = message
     Object.entries(this.#opts.advertises?.() ?? {}).forEach(([name, value]) => response.setHeader(name, value))
     if (url === '/v1/report') return this.#report(response)
-    if (url === '/v1/order') return this.#takeOrder(text, headers, response)
+    if (url === '/v1/order') return this.#acceptOrder(text, headers, response)
     if (method === 'DELETE') {
-      this.#handles.take(url.split('/').at(-1) ?? '')
+      this.#handles.consume(url.split('/').at(-1) ?? '')
       response.end()
       return
     }
@@ -171,7 +171,7 @@
     if (this.#opts.refuses?.()) return refuse(response, 503)
     if (this.#role === Role.Prefill) return this.#prefill(headers, response)
     const source = String(headers['x-reelspan-kv-source'] ?? '').split('/').at(-1) ?? ''
-    if (this.#role === Role.Decode && this.#opts.handles && !this.#handles.take(source)) return refuse(response, 503)
+    if (this.#role === Role.Decode && this.#opts.handles && !this.#handles.consume(source)) return refuse(response, 503)
     await this.#run(id, message, response)
   }
 
@@ -196,7 +196,7 @@
     response.end(JSON.stringify({ born: this.#opts.bornMs, stage: this.#role, state: this.#opts.reportedState?.(), models: [{ name: 'm', version: 1, adapters: [] }], busy: false, sequence: 0, queued: 0, running: 0, kv_used: 0, kv_total: 1000, kv_handles: 0 }))
   }
 
-  #takeOrder (text: string, headers: IncomingMessage['headers'], response: ServerResponse): void {
+  #acceptOrder (text: string, headers: IncomingMessage['headers'], response: ServerResponse): void {
     const expected = headers['x-reelspan-expect-instance']
     this.orders.push({ body: JSON.parse(text), expected: expected === undefined ? undefined : String(expected) })
     const status = this.#opts.orderStatus ? this.#opts.orderStatus() : 202
@@ -206,8 +206,8 @@
   #prefill (headers: IncomingMessage['headers'], response: ServerResponse): void {
     if (headers['x-reelspan-serving-stage'] !== 'prefill') return refuse(response, 421)
     const handle = `${this.#opts.instance ?? 'h'}${this.#nextHandle++}`
-    this.#handles.put(handle)
-    if (this.#opts.handleLifeMs !== undefined) setTimeout(() => this.#handles.take(handle), this.#opts.handleLifeMs).unref()
+    this.#handles.add(handle)
+    if (this.#opts.handleLifeMs !== undefined) setTimeout(() => this.#handles.consume(handle), this.#opts.handleLifeMs).unref()
     response.end(JSON.stringify({ kv_handle: handle, tokens: 100, version: 1 }))
   }
 
@@ -234,7 +234,7 @@
   }
 }
 
-function headOf ({ url = '', rawHeaders, rawTrailers }: IncomingMessage): ReceivedHead {
+function receivedHeadersOf ({ url = '', rawHeaders, rawTrailers }: IncomingMessage): ReceivedHeaders {
   const lines = [...rawHeaders, ...rawTrailers]
   const valuesOf = (header: string) => lines.filter((_, i) => i % 2 === 1 && lines[i - 1].toLowerCase() === header)
   return {
@@ -246,7 +246,7 @@
   }
 }
 
-/** Refuses a request that was not run. */
+/** Refuses a request without running it. */
 function refuse (response: ServerResponse, status: number): void {
   response.writeHead(status, { 'X-Reelspan-Not-Executed': '1' }).end()
 }
--- a/__utils__/stand-ins/src/createEngineServer.ts
+++ b/__utils__/stand-ins/src/createEngineServer.ts
@@ -49,9 +49,9 @@
   for await (const event of rest) yield JSON.stringify(event) + '\n'
 }
 
-/** The engine answers once it has accepted the order, and carries it out afterwards. */
+/** Responds once the engine has accepted the order, which it executes afterwards. */
 async function acceptOrder (ctx: Context, engine: EngineModel, order: EngineOrder): Promise<void> {
-  const carriedOut = engine.order(order)
-  await Promise.race([carriedOut, new Promise((resolve) => setImmediate(resolve))])
+  const execution = engine.order(order)
+  await Promise.race([execution, new Promise((resolve) => setImmediate(resolve))])
   ctx.body = {}
 }
--- a/__utils__/stand-ins/src/createPlatformServer.ts
+++ b/__utils__/stand-ins/src/createPlatformServer.ts
@@ -3,13 +3,13 @@
 import { type PlatformModel } from '@reelspan/utils.fakes'
 import { jsonServer } from './jsonServer.js'
 
-/** Serves the platform's two lists: `GET /v1/<collection>?since=<revision>&waitMs=<ms>`. */
+/** Serves the platform's two collections: `GET /v1/<collection>?since=<revision>&waitMs=<ms>`. */
 export function createPlatformServer (platform: PlatformModel): Server {
   return jsonServer(async (ctx) => {
     const collection = Object.values(Collection).find((name) => ctx.path === `/v1/${name}`)
     if (!collection) return
-    const gone = new AbortController()
-    ctx.res.on('close', () => gone.abort())
-    ctx.body = await platform.read(collection, Number(ctx.query.since), Number(ctx.query.waitMs), gone.signal)
+    const closed = new AbortController()
+    ctx.res.on('close', () => closed.abort())
+    ctx.body = await platform.read(collection, Number(ctx.query.since), Number(ctx.query.waitMs), closed.signal)
   })
 }
--- a/__utils__/stand-ins/src/createServiceServer.ts
+++ b/__utils__/stand-ins/src/createServiceServer.ts
@@ -2,7 +2,7 @@
 import { type ServiceModel } from '@reelspan/utils.fakes'
 import { jsonServer } from './jsonServer.js'
 
-/** Serves a plain service that counts its runs by request key; `GET /stand-in/runs` tells them. */
+/** Serves a service model over HTTP; `GET /stand-in/runs` returns its runs by request key. */
 export function createServiceServer (service: ServiceModel): Server {
   return jsonServer(async (ctx) => {
     if (ctx.path === '/stand-in/runs') {
--- a/__utils__/stand-ins/src/freePorts.ts
+++ b/__utils__/stand-ins/src/freePorts.ts
@@ -1,39 +1,39 @@
 import { createServer, type Server } from 'node:net'
 
-/** Below the ports that the system gives to connections and to listeners that name none, so that none of those takes one before it is used. */
+/** The range is below the system's ephemeral ports, so that no connection or listener on port 0 takes a port before it is used. */
 const FIRST_PORT = 12_000
-const PORTS = 20_000
-/** Processes that run side by side begin at places of their own, to try fewer. */
+const PORT_COUNT = 20_000
+/** Concurrent processes start at different offsets, to try fewer reserved ports. */
 const PORTS_PER_PROCESS = 1009
-/** A port that is given out is listened on here until the process ends, so that no process gives it out again. */
-const CLAIM_HOST = '127.255.255.254'
+/** A returned port is reserved by a listener on this address until the process exits, so that no other process returns it. */
+const RESERVATION_HOST = '127.255.255.254'
 
-let next = (process.pid * PORTS_PER_PROCESS) % PORTS
+let nextOffset = (process.pid * PORTS_PER_PROCESS) % PORT_COUNT
 
-/** Ports on loopback that nobody listens on, and that are given to nobody else. */
+/** Finds loopback ports without a listener and reserves them for this process. */
 export async function freePorts (count: number, host = '127.0.0.1'): Promise<number[]> {
   const ports: number[] = []
   while (ports.length < count) {
-    const port = FIRST_PORT + next
-    next = (next + 1) % PORTS
-    if (await claim(port, host)) ports.push(port)
+    const port = FIRST_PORT + nextOffset
+    nextOffset = (nextOffset + 1) % PORT_COUNT
+    if (await reserve(port, host)) ports.push(port)
   }
   return ports
 }
 
-async function claim (port: number, host: string): Promise<boolean> {
-  const claimed = await listen(port, CLAIM_HOST)
-  const free = claimed && await listen(port, host)
-  claimed?.unref()
+async function reserve (port: number, host: string): Promise<boolean> {
+  const reserved = await listen(port, RESERVATION_HOST)
+  const free = reserved && await listen(port, host)
+  reserved?.unref()
   if (!free) {
-    claimed?.close()
+    reserved?.close()
     return false
   }
   await new Promise((resolve) => free.close(resolve))
   return true
 }
 
-/** Nothing when the port is taken. */
+/** Resolves with undefined if the port is in use. */
 function listen (port: number, host: string): Promise<Server | undefined> {
   const server = createServer()
   return new Promise((resolve) => {
@@ -42,7 +42,7 @@
   })
 }
 
-/** One of these as an address. */
+/** Reserves a free port and resolves with its loopback address. */
 export async function freeAddress (): Promise<string> {
   const [port] = await freePorts(1)
   return `127.0.0.1:${port}`
--- a/__utils__/stand-ins/src/jsonServer.ts
+++ b/__utils__/stand-ins/src/jsonServer.ts
@@ -2,7 +2,7 @@
 import Koa, { type Context } from 'koa'
 import { UpstreamError } from '@reelspan/upstream.client'
 
-/** Serves JSON. A thrown `UpstreamError` becomes a refusal that says whether the upstream had begun. */
+/** Serves JSON. The response to a thrown `UpstreamError` says whether the request may have run. */
 export function jsonServer (serve: (ctx: Context) => Promise<void>): Server {
   const app = new Koa()
   app.silent = true
--- a/__utils__/stand-ins/src/listenOn.ts
+++ b/__utils__/stand-ins/src/listenOn.ts
@@ -1,7 +1,7 @@
 import { type Server } from 'node:http'
 import { type AddressInfo } from 'node:net'
 
-/** Starts a server on loopback and resolves with its `ip:port`. Port 0 takes a free one. */
+/** Starts a server on loopback and resolves with its `ip:port`. Port 0 selects a free one. */
 export async function listenOn (server: Server, port = 0): Promise<string> {
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
--- a/__utils__/stand-ins/src/runStandIn.ts
+++ b/__utils__/stand-ins/src/runStandIn.ts
@@ -5,7 +5,7 @@
 import { createEngineServer } from './createEngineServer.js'
 import { createPlatformServer } from './createPlatformServer.js'
 import { createServiceServer } from './createServiceServer.js'
-import { httpExport } from './httpExport.js'
+import { fetchPrefillResultOverHttp } from './httpExport.js'
 import { listenOn } from './listenOn.js'
 
 export enum StandInKind {
@@ -14,7 +14,7 @@
   Service = 'service',
 }
 
-/** What the process that started a stand-in may tell it. */
+/** Messages that the parent process may send to a stand-in. */
 export type StandInMessage =
   | { type: 'publish', collection: Collection, entries: PublishedEntry[] }
   | { type: 'platformFaults', faults: Partial<Pick<PlatformModel, 'outage' | 'staleMs' | 'fleetLagMs' | 'callsPerSecond'>> }
@@ -22,7 +22,7 @@
 
 type EngineSettings = Omit<EngineModelOptions, 'clock' | 'exportFrom'>
 
-/** Runs one stand-in as a process. It tells its parent the address it listens on. */
+/** Runs one stand-in in this process, and sends its address to the parent process. */
 export async function runStandIn (kind: string, settings: object): Promise<void> {
   const clock = new SystemClock()
   const server = createServer(kind as StandInKind, clock, settings)
@@ -41,7 +41,7 @@
       return createPlatformServer(platform)
     }
     case StandInKind.Engine: {
-      const engine = new EngineModel({ ...settings as EngineSettings, clock, exportFrom: httpExport })
+      const engine = new EngineModel({ ...settings as EngineSettings, clock, exportFrom: fetchPrefillResultOverHttp })
       onParentMessage((message) => {
         if (message.type === 'engineFaults') Object.assign(engine.faults, message.faults)
       })
@@ -52,9 +52,9 @@
   }
 }
 
-function onParentMessage (act: (message: StandInMessage) => void): void {
+function onParentMessage (handle: (message: StandInMessage) => void): void {
   process.on('message', (message) => {
-    act(message as StandInMessage)
+    handle(message as StandInMessage)
     process.send?.({ done: true })
   })
 }
--- a/cli/reelspanctl/src/requestEnd.ts
+++ b/cli/reelspanctl/src/requestEnd.ts
@@ -9,6 +9,7 @@
   Served = 'served',
   Refused = 'refused',
   Failed = 'failed',
+  /** Cancelled before it was answered, usually because the caller disconnected. */
   Cancelled = 'left',
 }
 
--- a/cli/reelspanctl/src/tallyLines.ts
+++ b/cli/reelspanctl/src/tallyLines.ts
@@ -10,7 +10,7 @@
   [Outcome.Served]: 'served, no target logged',
   [Outcome.Refused]: 'refused',
   [Outcome.Failed]: 'failed',
-  [Outcome.Cancelled]: 'cancelled',
+  [Outcome.Cancelled]: 'left',
 }
 const EMPTY_CELL = '-'
 const TO_PERCENT = 100
@@ -57,7 +57,7 @@
     { count: droppedLines, text: 'lines were dropped under load: their events are not counted' },
     { count: unreadableLines, text: 'lines could not be read' },
     { count: withoutEnd, text: 'requests have no end: they were still running, their process exited, or the line was dropped' },
-    { count: withoutTrail, text: 'requests have an incomplete trace: the counts of placed and sent requests may be too low' },
+    { count: withoutTrail, text: 'requests have an incomplete trace: the counts of placed requests and retries may be too low' },
   ].filter(({ count }) => count > 0)
   return counts.length > 0 ? ['', ...counts.map(({ count, text }) => `${count} ${text}`)] : []
 }
--- a/cli/reelspanctl/test/tally.ts
+++ b/cli/reelspanctl/test/tally.ts
@@ -87,7 +87,7 @@
   const { code, out } = await run([], readFileSync(LOG, 'utf8'))
   t.is(code, 0)
   t.regex(out, /^route drafts \(resumableStream\): 9 requests$/m)
-  t.regex(out, /^ +1 +11\.1% +3600 +3600 +3600 +- +- +- +0\.0 {2}cancelled$/m)
+  t.regex(out, /^ +1 +11\.1% +3600 +3600 +3600 +- +- +- +0\.0 {2}left$/m)
 })
 
 test('a log without the outcome of any request gives exit code 3', async (t) => {
