--- a/__utils__/fake-fleet/src/fakeFleet.ts
+++ b/__utils__/fake-fleet/src/fakeFleet.ts
@@ -8,7 +8,7 @@
 import { Metrics } from '@reelspan/telemetry.metrics'
 import { EngineRole, type RelayedRequest } from '@reelspan/upstream.client'
 import { collectAnswer, type Outcome } from './collectAnswer.js'
-import { RecordingCaller } from './keepingCaller.js'
+import { FakeRelayCaller } from './keepingCaller.js'
 import { RecordingLog } from './silentLog.js'
 
 export interface FakeFleetOptions {
@@ -247,8 +247,8 @@
   }
 
   /** Relays a request through a box, and resolves with what its caller received. */
-  async relay (boxName: string, request: Partial<RelayedRequest> & Pick<RelayedRequest, 'id' | 'host' | 'target'>, deadlineMs?: number): Promise<RecordingCaller> {
-    const caller = new RecordingCaller()
+  async relay (boxName: string, request: Partial<RelayedRequest> & Pick<RelayedRequest, 'id' | 'host' | 'target'>, deadlineMs?: number): Promise<FakeRelayCaller> {
+    const caller = new FakeRelayCaller()
     const { box, killed } = this.box(boxName)
     killed.signal.addEventListener('abort', () => caller.cut(), { once: true })
     const prompt = { model: 'draft', promptTokens: 500, maxTokens: 40, prefixes: [{ digest: request.target, tokens: 500 }] }
--- a/__utils__/fake-fleet/src/keepingCaller.ts
+++ b/__utils__/fake-fleet/src/keepingCaller.ts
@@ -2,7 +2,7 @@
 import { RelayCaller } from '@reelspan/request.relay'
 
 /** A caller of a relayed request that records its answer. */
-export class RecordingCaller extends RelayCaller {
+export class FakeRelayCaller extends RelayCaller {
   /** Aborted to simulate that the caller disconnects. */
   readonly left = new AbortController()
   status?: number
