--- a/__utils__/fake-fleet/src/fakeFleet.ts
+++ b/__utils__/fake-fleet/src/fakeFleet.ts
@@ -171,8 +171,8 @@
   cutOffZone (availabilityZone: string): void {
     const { boxes, upstreams } = this.#deployment
     const members = [...boxes, ...upstreams]
-    const inside = members.filter((place) => place.availabilityZone === availabilityZone)
-    const outside = members.filter((place) => place.availabilityZone !== availabilityZone)
+    const inside = members.filter((member) => member.availabilityZone === availabilityZone)
+    const outside = members.filter((member) => member.availabilityZone !== availabilityZone)
     inside.forEach((a) => outside.forEach((b) => this.network.cutBoth(this.address(a.name), this.address(b.name))))
   }
 
--- a/__utils__/fakes/src/engineModel.ts
+++ b/__utils__/fakes/src/engineModel.ts
@@ -18,6 +18,7 @@
   name: string
   role: EngineRole
   loaded: LoadedModel[]
+  /** Fetches a prefill result from the engine at an address. */
   exportFrom: FetchPrefillResult
   placesTotal?: number
   kvBytesTotal?: number
@@ -173,8 +174,8 @@
   }
 
   async * decode (request: DecodeRequest): AsyncGenerator<DecodeEvent> {
-    const known = this.#streams.get(holdLabelKey(request.label))
-    const stream = known ?? await this.#openStream(request)
+    const existing = this.#streams.get(holdLabelKey(request.label))
+    const stream = existing ?? await this.#openStream(request)
     yield * this.#sendTokens(stream, request)
   }
 
--- a/__utils__/fakes/src/platformModel.ts
+++ b/__utils__/fakes/src/platformModel.ts
@@ -50,9 +50,9 @@
 
   /** Publishes changed entries and returns the new revision. */
   publish (collection: Collection, entries: readonly PublishedEntry[]): number {
-    const { revision: before, entries: known } = this.#latest(collection)
+    const { revision: before, entries: previous } = this.#latest(collection)
     const revision = collection === Collection.Declarations ? ++this.#lastDeclarationsVersion : before + 1
-    const next = new Map(known)
+    const next = new Map(previous)
     entries.forEach(({ kind, name, spec }) => next.set(`${kind}/${name}`, { kind, name, spec, revision }))
     this.#history[collection].push({ revision, atMs: this.#clock.nowMs(), entries: next })
     this.#changed.notify()
--- a/__utils__/fakes/src/relayedUpstreams.ts
+++ b/__utils__/fakes/src/relayedUpstreams.ts
@@ -88,8 +88,8 @@
 
   #processAt (address: string): AbortSignal {
     if (!this.#opts.isRunning(address)) throw new UpstreamError(`${address} cannot be reached`, { mayHaveRun: false, unreachable: true })
-    const known = this.#processes.get(address)
-    if (known) return known.signal
+    const existing = this.#processes.get(address)
+    if (existing) return existing.signal
     const process = new AbortController()
     this.#processes.set(address, process)
     return process.signal
--- a/__utils__/fuzz/src/commands.ts
+++ b/__utils__/fuzz/src/commands.ts
@@ -90,8 +90,8 @@
 })
 
 const restart = step('restart', [smallNat], async ({ fleet }, which) => {
-  const dead = [...new Set(fleet.boxes.map(({ name }) => name))].filter((name) => !fleet.box(name).alive)
-  if (dead.length > 0) void fleet.startBox(pick(dead, which))
+  const stopped = [...new Set(fleet.boxes.map(({ name }) => name))].filter((name) => !fleet.box(name).alive)
+  if (stopped.length > 0) void fleet.startBox(pick(stopped, which))
 })
 
 /** Starts another process at the address of a paused one, like the replacement of a box that was assumed to have exited. */
--- a/__utils__/platform-stand-ins/src/standInUpstream.ts
+++ b/__utils__/platform-stand-ins/src/standInUpstream.ts
@@ -56,19 +56,19 @@
 
 /** Handles of the available prefill results of all engines of a deployment. */
 export class HandleTable {
-  readonly #held = new Set<string>()
+  readonly #handles = new Set<string>()
 
   get size (): number {
-    return this.#held.size
+    return this.#handles.size
   }
 
   add (handle: string): void {
-    this.#held.add(handle)
+    this.#handles.add(handle)
   }
 
   /** Removes a handle and returns whether it existed. */
   consume (handle: string): boolean {
-    return this.#held.delete(handle)
+    return this.#handles.delete(handle)
   }
 }
 
--- a/cli/reelspanctl/src/explainRequest.ts
+++ b/cli/reelspanctl/src/explainRequest.ts
@@ -21,19 +21,19 @@
 
 /** Explains a request; undefined if no line names it. */
 export function explainRequest (lines: readonly LogLine[], requestId: string): Explanation | undefined {
-  const trail = lines.filter(({ request }) => request === requestId)
-  if (trail.length === 0) return undefined
-  const last = trail[trail.length - 1]
-  const boxes = new Set([...trail.map(({ box }) => box), ...trail.map(({ scheduler }) => scheduler)])
+  const trace = lines.filter(({ request }) => request === requestId)
+  if (trace.length === 0) return undefined
+  const last = trace[trace.length - 1]
+  const boxes = new Set([...trace.map(({ box }) => box), ...trace.map(({ scheduler }) => scheduler)])
   const before = lines.slice(0, lines.indexOf(last)).filter(({ box }) => boxes.has(box))
-  const upstreams = new Set<unknown>(trail.flatMap(({ upstream, prefillEngine, decodeEngine }) => [upstream, prefillEngine, decodeEngine]).filter((name) => name !== undefined))
+  const upstreams = new Set<unknown>(trace.flatMap(({ upstream, prefillEngine, decodeEngine }) => [upstream, prefillEngine, decodeEngine]).filter((name) => name !== undefined))
   const suspicions = lines.filter((line) => line.event === LogEvent.UpstreamSuspected && upstreams.has(line.upstream) && isWithinWindow(line, last))
   return {
-    trail,
+    trail: trace,
     beliefs: lastOfEachKind(before.filter(isStateChange)),
     suspicions,
     droppedLines: droppedLines(lines.filter(({ box }) => box === undefined || boxes.has(box))),
-    cause: likelyCause({ trail, suspicions }),
+    cause: likelyCause({ trail: trace, suspicions }),
   }
 }
 
--- a/cli/reelspanctl/src/likelyCause.ts
+++ b/cli/reelspanctl/src/likelyCause.ts
@@ -33,28 +33,28 @@
   return `see the code ${String(end.code)} in docs/OPERATING.md`
 }
 
-function failureCause (trail: readonly LogLine[], suspicions: readonly LogLine[]): string {
-  const retries = trail.filter(({ event }) => event === LogEvent.RequestRetried).length
+function failureCause (trace: readonly LogLine[], suspicions: readonly LogLine[]): string {
+  const retries = trace.filter(({ event }) => event === LogEvent.RequestRetried).length
   const boxes = new Set(suspicions.map(({ box }) => box)).size
   const where = boxes > 1 ? `: ${boxes} boxes suspected it, so the fault is at the upstream` : ', or the network path to it from this box failed'
   return `an upstream failed${retries > 0 ? `, as in ${retries} earlier attempts` : ''}${where}`
 }
 
-function lastStage (trail: readonly LogLine[]): string {
-  const last = trail.findLast(({ event }) => event !== LogEvent.RequestEnded)
+function lastStage (trace: readonly LogLine[]): string {
+  const last = trace.findLast(({ event }) => event !== LogEvent.RequestEnded)
   if (last?.event === LogEvent.RequestPlaced) return 'a prefill, or its decode engine, did not answer'
   if (last?.event === LogEvent.RequestSent) return 'an upstream had begun to answer and did not finish'
   return last ? 'its last attempt got no answer' : 'it waited for a slot, or for its upstream'
 }
 
-function servedSummary (trail: readonly LogLine[], end: LogLine): string {
-  const waitedMs = sumOf(trail, 'waitedMs')
-  const prefillMs = sumOf(trail, 'prefillMs')
-  const retries = trail.filter(({ event }) => event === LogEvent.RequestRetried).length
+function servedSummary (trace: readonly LogLine[], end: LogLine): string {
+  const waitedMs = sumOf(trace, 'waitedMs')
+  const prefillMs = sumOf(trace, 'prefillMs')
+  const retries = trace.filter(({ event }) => event === LogEvent.RequestRetried).length
   const parts = [`first part after ${String(end.firstMs)} ms`, `longest pause ${String(end.longestPauseMs)} ms`, `waited ${waitedMs} ms for a slot`, `prefill ${prefillMs} ms`, `${retries} retries`]
   return `it was served (${parts.join(', ')})`
 }
 
-function sumOf (trail: readonly LogLine[], field: string): number {
-  return trail.reduce((sum, line) => sum + (Number(line[field]) || 0), 0)
+function sumOf (trace: readonly LogLine[], field: string): number {
+  return trace.reduce((sum, line) => sum + (Number(line[field]) || 0), 0)
 }
--- a/cli/reelspanctl/src/tallyRequests.ts
+++ b/cli/reelspanctl/src/tallyRequests.ts
@@ -44,7 +44,7 @@
     missing: {
       droppedLines: droppedLines(lines),
       unreadableLines,
-      withoutEnd: [...traces.values()].filter((trail) => !trail.some(({ event }) => event === LogEvent.RequestEnded)).length,
+      withoutEnd: [...traces.values()].filter((trace) => !trace.some(({ event }) => event === LogEvent.RequestEnded)).length,
       withoutTrail: ended.filter(({ end, trail }) => end.status !== undefined && !hasEvent(trail, LogEvent.RequestSent)).length,
     },
   }
@@ -54,8 +54,8 @@
 function tracesOf (lines: readonly LogLine[]): Map<string, LogLine[]> {
   const traces = new Map<string, LogLine[]>()
   lines.filter(({ request }) => request !== undefined).forEach((line) => {
-    const trail = traces.get(attemptIdOf(line))
-    if (trail) trail.push(line)
+    const trace = traces.get(attemptIdOf(line))
+    if (trace) trace.push(line)
     else traces.set(attemptIdOf(line), [line])
   })
   return traces
@@ -92,6 +92,6 @@
   return { name, requests: ended.length, rows }
 }
 
-function hasEvent (trail: readonly LogLine[], event: LogEvent): boolean {
-  return trail.some((line) => line.event === event)
+function hasEvent (trace: readonly LogLine[], event: LogEvent): boolean {
+  return trace.some((line) => line.event === event)
 }
--- a/cli/reelspanctl/src/tallyRow.ts
+++ b/cli/reelspanctl/src/tallyRow.ts
@@ -38,10 +38,10 @@
   const [{ outcome, cause }] = group
   const row = { outcome, cause, requests: group.length, share: group.length / total }
   if (outcome === Outcome.ServedInTime || outcome === Outcome.Served) return row
-  const held = group.map(({ heldMs }) => heldMs)
+  const latenciesMs = group.map(({ heldMs }) => heldMs)
   return {
     ...row,
-    heldMs: { median: percentile(held, P50), mean: Math.round(sumOf(held) / held.length), p99: percentile(held, P99) },
+    heldMs: { median: percentile(latenciesMs, P50), mean: Math.round(sumOf(latenciesMs) / latenciesMs.length), p99: percentile(latenciesMs, P99) },
     placed: stageStats(group.map(({ trail }) => trail.find(({ event }) => event === LogEvent.RequestPlaced)?.atMs)),
     sent: stageStats(group.map(({ end }) => end.lastSentMs)),
     firstPart: stageStats(group.map(({ end }) => end.firstMs)),
@@ -50,8 +50,8 @@
 }
 
 function stageStats (timesMs: readonly unknown[]): StageStats {
-  const known = timesMs.filter((timeMs) => typeof timeMs === 'number')
-  return { requests: known.length, medianMs: percentile(known, P50) }
+  const reachedMs = timesMs.filter((timeMs) => typeof timeMs === 'number')
+  return { requests: reachedMs.length, medianMs: percentile(reachedMs, P50) }
 }
 
 function sumOf (values: readonly number[]): number {
