--- a/__utils__/soak/src/attempt.ts
+++ b/__utils__/soak/src/attempt.ts
@@ -1,4 +1,4 @@
-/** What may be done with a request, by its route. */
+/** Kind of route that a request is sent to. It decides whether the request may run again or be resumed. */
 export enum RouteKind {
   /** A call that may run at most once. */
   Once = 'once',
@@ -6,11 +6,11 @@
   Repeatable = 'repeatable',
   /** A stream that may run at most once. */
   Stream = 'stream',
-  /** A stream that may be taken up at another engine. */
+  /** A stream that may be resumed at another engine. */
   Resumable = 'resumable',
 }
 
-/** One attempt of a client, as the client saw it. Times are on `performance.now()`. */
+/** One attempt of a client to send a request, as the client saw it. Times are on `performance.now()`. */
 export interface Attempt {
   id: string
   kind: RouteKind
@@ -18,24 +18,24 @@
   box: string
   sentAtMs: number
   deadlineMs: number
-  /** Events that its answer has, when it is a stream and not of the usual size. */
+  /** Number of events of the expected answer, if it is a stream of other than the default size. */
   events?: number
   endedAtMs?: number
   status?: number
   body?: string
   retryAfter?: string
-  /** The connection broke, or the client gave up. */
+  /** Set when the connection failed or the client timed out. */
   error?: string
-  /** When the client closed the connection of its own, before the end. */
-  leftAtMs?: number
-  /** The box, or the whole machine, stood still for a part of the time. */
-  stoodStill?: boolean
+  /** When the client aborted the request before its end, if it did. */
+  abortedAtMs?: number
+  /** The box, or the whole machine, was suspended or got no processor time during the attempt. */
+  wasStalled?: boolean
 }
 
 export function isStream (kind: RouteKind): boolean {
   return kind === RouteKind.Stream || kind === RouteKind.Resumable
 }
 
-export function mayRepeat (kind: RouteKind): boolean {
+export function mayRunRepeatedly (kind: RouteKind): boolean {
   return kind === RouteKind.Repeatable || kind === RouteKind.Resumable
 }
--- a/__utils__/soak/src/checkBounds.ts
+++ b/__utils__/soak/src/checkBounds.ts
@@ -1,41 +1,41 @@
 import { type UpstreamArrival, type UpstreamRun } from '@reelspan/utils.platform-stand-ins'
 import { type Attempt, RouteKind } from './attempt.js'
 import { groupBy } from './groupBy.js'
-import { HarmKind } from './harmLog.js'
-import { type Stall } from './stallWatch.js'
+import { DisruptionKind } from './harmLog.js'
+import { type TimeInterval } from './stallWatch.js'
 
-/** An upstream that said that it leaves, or went from the list and serves on. */
+/** An upstream that started draining, or whose entry was removed while it keeps serving. */
 export interface Departure {
   instance: string
   atMs: number
 }
 
-/** A configuration that the store acknowledged, with a route that no other one has. */
+/** A version of the configuration that the store acknowledged. It has a route that no other version has. */
 export interface Publication {
   version: number
   path: string
   atMs: number
 }
 
-/** A call of a version's own route at one box. */
+/** A call to the probe route of one version at one box. */
 export interface Probe {
   box: string
-  /** Which life of the box it was sent to. */
-  life: string
+  /** The process of the box that it was sent to. */
+  incarnation: string
   version: number
   sentAtMs: number
   endedAtMs: number
   status: number
 }
 
-/** A box that was given SIGTERM. */
+/** A SIGTERM to a box. */
 export interface PlannedStop {
   box: string
   atMs: number
 }
 
-/** What is judged. Times are on `performance.now()`. */
-export interface BoundedHistory {
+/** Everything that the checks examine. Times are on `performance.now()`. */
+export interface CheckedHistory {
   attempts: readonly Attempt[]
   runs: readonly UpstreamRun[]
   arrivals: readonly UpstreamArrival[]
@@ -43,122 +43,122 @@
   publications: readonly Publication[]
   probes: readonly Probe[]
   stops: readonly PlannedStop[]
-  /** Whether nothing harmed a box or the store, nor the upstreams named, nor was the machine without processor time. */
-  isUnharmed: (box: string, instances: readonly string[], within: Stall, kinds?: readonly HarmKind[]) => boolean
+  /** Whether the box, the store and the given upstreams were undisrupted within an interval, and the harness and the box got processor time. */
+  isUndisrupted: (box: string, instances: readonly string[], within: TimeInterval, kinds?: readonly DisruptionKind[]) => boolean
 }
 
-/** What did not hold, and how much was looked at. */
-export interface BoundedVerdict {
+/** Violations, and the number of cases that each check examined. */
+export interface CheckResult {
   violations: string[]
-  judged: Record<string, number>
+  checkCounts: Record<string, number>
 }
 
-/** Bounds hold for a box that was unharmed for so long. */
-const CONTACT_MS = 3000
-const LEAVING_BOUND_MS = 2000
+/** Time bounds hold for a box that has been undisrupted for this long. */
+const SETTLE_MS = 3000
+const DEPARTURE_BOUND_MS = 2000
 const CONFIGURATION_BOUND_MS = 2000
-/** A version that was seen at a box is in force in what is sent to it this much later. */
+/** Requests that are sent this long after a version was first seen at a box must be served by that version or a newer one. */
 const REVERT_SLACK_MS = 250
-/** A caller that left has cost an upstream everything that it will by then. */
-const GONE_BOUND_MS = 500
-/** Loopback, two event loops and the proxy between them. */
-const TRANSIT_MS = 100
-const GRACE_MS = 8000
-/** A request taken later than this after SIGTERM must be answered whole, or refused. */
-const LATE_AFTER_TERM_MS = 3000
-/** Runs that end later than this in the grace excuse a cut of what was sent early. */
-const LAST_SIXTH_MS = GRACE_MS * 5 / 6
-/** A connection that closes sooner after a request crossed it on the way. */
-const CROSSED_MS = 300
+/** An aborted request causes no further cost at any upstream after this time. */
+const ABORT_BOUND_MS = 500
+/** Covers loopback, two event loops and the proxy between them. */
+const MAX_TRANSIT_MS = 100
+const STOP_GRACE_MS = 8000
+/** A request that a box accepts later than this after SIGTERM must be answered completely or refused. */
+const LATE_REQUEST_AFTER_TERM_MS = 3000
+/** A request that was sent early may be interrupted if its run ends in the last sixth of the grace period or later. */
+const EXCUSED_RUN_END_MS = STOP_GRACE_MS * 5 / 6
+/** A connection that closes within this time after a request was sent may have closed before the box read the request. */
+const CLOSE_RACE_MS = 300
 const NO_ROUTE = 404
 const OK = 200
 
-/** Judges what has a bound in time, for boxes that were unharmed. It shares no code with the product. */
-export function checkBounds (history: BoundedHistory): BoundedVerdict {
-  const checks = { leaving: checkLeaving(history), gone: checkGone(history), cut: checkCut(history), configuration: checkConfiguration(history), reverts: checkReverts(history) }
+/** Checks all guarantees that have a time bound, for boxes that were undisrupted. Shares no code with the product. */
+export function checkBounds (history: CheckedHistory): CheckResult {
+  const checks = { leaving: checkDepartures(history), gone: checkAbortedRequests(history), cut: checkInterruptedRequests(history), configuration: checkConfigurations(history), reverts: checkReverts(history) }
   return {
-    violations: Object.values(checks).flatMap((found) => found.filter((problem) => problem !== undefined)),
-    judged: Object.fromEntries(Object.entries(checks).map(([name, found]) => [name, found.length])),
+    violations: Object.values(checks).flatMap((findings) => findings.filter((violation) => violation !== undefined)),
+    checkCounts: Object.fromEntries(Object.entries(checks).map(([name, findings]) => [name, findings.length])),
   }
 }
 
-type Found = (string | undefined)[]
+type Findings = (string | undefined)[]
 
-/** No new work reaches an upstream later than the bound after the store took its word that it leaves. Judged is what arrives anywhere while one that left could still be used. */
-function checkLeaving ({ attempts, arrivals, departures, isUnharmed }: BoundedHistory): Found {
+/** No new request reaches an upstream later than the bound after the store recorded that it drains. Examines requests to any upstream while a draining one could still be used. */
+function checkDepartures ({ attempts, arrivals, departures, isUndisrupted }: CheckedHistory): Findings {
   const boxOf = new Map(attempts.map(({ id, box }) => [id, box]))
-  const departedAtMs = new Map(departures.map(({ instance, atMs }) => [instance, atMs]))
-  const isPastBound = (atMs: number) => departures.some((departure) => atMs > departure.atMs + LEAVING_BOUND_MS && atMs < departure.atMs + LEAVING_BOUND_MS + CONTACT_MS)
+  const departedAtMsOf = new Map(departures.map(({ instance, atMs }) => [instance, atMs]))
+  const isPastBound = (atMs: number) => departures.some((departure) => atMs > departure.atMs + DEPARTURE_BOUND_MS && atMs < departure.atMs + DEPARTURE_BOUND_MS + SETTLE_MS)
   return arrivals.flatMap(({ id, instance, atMs }) => {
-    const afterMs = atMs - (departedAtMs.get(instance) ?? Number.POSITIVE_INFINITY)
+    const afterMs = atMs - (departedAtMsOf.get(instance) ?? Number.POSITIVE_INFINITY)
     const box = boxOf.get(id) ?? ''
-    if (afterMs <= LEAVING_BOUND_MS && !isPastBound(atMs)) return []
-    if (!isUnharmed(box, [instance], { fromMs: atMs - CONTACT_MS, toMs: atMs })) return []
-    return [afterMs > LEAVING_BOUND_MS ? `${id} reached ${instance} from ${box} ${Math.round(afterMs)} ms after the store took its leaving` : undefined]
+    if (afterMs <= DEPARTURE_BOUND_MS && !isPastBound(atMs)) return []
+    if (!isUndisrupted(box, [instance], { fromMs: atMs - SETTLE_MS, toMs: atMs })) return []
+    return [afterMs > DEPARTURE_BOUND_MS ? `${id} reached ${instance} from ${box} ${Math.round(afterMs)} ms after the store recorded that it drains` : undefined]
   })
 }
 
-/** A caller that left costs an upstream nothing new, and no work that it does for nobody. */
-function checkGone ({ attempts, runs, arrivals, isUnharmed }: BoundedHistory): Found {
+/** After a client has aborted a request, the request reaches no further upstream, and its running work is stopped, except for calls that may run at most once. */
+function checkAbortedRequests ({ attempts, runs, arrivals, isUndisrupted }: CheckedHistory): Findings {
   const runsOf = groupBy(runs, ({ id }) => id)
   const arrivalsOf = groupBy(arrivals, ({ id }) => id)
-  return attempts.flatMap(({ id, kind, box, leftAtMs }) => {
-    if (leftAtMs === undefined) return []
-    const arrived = arrivalsOf.get(id) ?? []
-    const boundMs = leftAtMs + GONE_BOUND_MS + TRANSIT_MS
-    if (!isUnharmed(box, arrived.map(({ instance }) => instance), { fromMs: leftAtMs - CONTACT_MS, toMs: boundMs })) return []
-    const late = arrived.filter(({ atMs }) => atMs > boundMs)
-    const atWork = kind === RouteKind.Once ? [] : (runsOf.get(id) ?? []).filter(({ endedAtMs = Number.POSITIVE_INFINITY }) => endedAtMs > boundMs)
-    if (late.length > 0) return [`${id} (${kind} at ${box}) reached ${late[0].instance} ${Math.round(late[0].atMs - leftAtMs)} ms after its caller had left`]
-    return [atWork.length > 0 ? `${id} (${kind} at ${box}) was at work at ${atWork[0].instance} more than ${GONE_BOUND_MS} ms after its caller had left` : undefined]
+  return attempts.flatMap(({ id, kind, box, abortedAtMs }) => {
+    if (abortedAtMs === undefined) return []
+    const ownArrivals = arrivalsOf.get(id) ?? []
+    const boundMs = abortedAtMs + ABORT_BOUND_MS + MAX_TRANSIT_MS
+    if (!isUndisrupted(box, ownArrivals.map(({ instance }) => instance), { fromMs: abortedAtMs - SETTLE_MS, toMs: boundMs })) return []
+    const lateArrivals = ownArrivals.filter(({ atMs }) => atMs > boundMs)
+    const unfinishedRuns = kind === RouteKind.Once ? [] : (runsOf.get(id) ?? []).filter(({ endedAtMs = Number.POSITIVE_INFINITY }) => endedAtMs > boundMs)
+    if (lateArrivals.length > 0) return [`${id} (${kind} at ${box}) reached ${lateArrivals[0].instance} ${Math.round(lateArrivals[0].atMs - abortedAtMs)} ms after its client had aborted it`]
+    return [unfinishedRuns.length > 0 ? `${id} (${kind} at ${box}) was still running at ${unfinishedRuns[0].instance} more than ${ABORT_BOUND_MS} ms after its client had aborted it` : undefined]
   })
 }
 
-/** Planned work cuts off no request that was read. */
-function checkCut ({ attempts, runs, arrivals, stops, isUnharmed }: BoundedHistory): Found {
+/** Planned work interrupts no request that a box has read. */
+function checkInterruptedRequests ({ attempts, runs, arrivals, stops, isUndisrupted }: CheckedHistory): Findings {
   const runsOf = groupBy(runs, ({ id }) => id)
   const arrivalsOf = groupBy(arrivals, ({ id }) => id)
   const stopsOf = groupBy(stops, ({ box }) => box)
   return attempts.flatMap((attempt) => {
-    const { id, kind, box, sentAtMs, endedAtMs, deadlineMs, error, leftAtMs } = attempt
-    if (leftAtMs !== undefined || endedAtMs === undefined) return []
-    const stop = (stopsOf.get(box) ?? []).findLast(({ atMs }) => atMs <= endedAtMs && endedAtMs <= atMs + GRACE_MS + CONTACT_MS)
-    const fromMs = Math.min(sentAtMs, stop?.atMs ?? sentAtMs) - CONTACT_MS
+    const { id, kind, box, sentAtMs, endedAtMs, deadlineMs, error, abortedAtMs } = attempt
+    if (abortedAtMs !== undefined || endedAtMs === undefined) return []
+    const stop = (stopsOf.get(box) ?? []).findLast(({ atMs }) => atMs <= endedAtMs && endedAtMs <= atMs + STOP_GRACE_MS + SETTLE_MS)
+    const fromMs = Math.min(sentAtMs, stop?.atMs ?? sentAtMs) - SETTLE_MS
     const instances = (arrivalsOf.get(id) ?? []).map(({ instance }) => instance)
-    if (!isUnharmed(box, instances, { fromMs, toMs: endedAtMs }, [HarmKind.Unplanned])) return []
+    if (!isUndisrupted(box, instances, { fromMs, toMs: endedAtMs }, [DisruptionKind.Unplanned])) return []
     const tookMs = endedAtMs - sentAtMs
-    const wasRead = instances.length > 0 || tookMs > CROSSED_MS
+    const wasRead = instances.length > 0 || tookMs > CLOSE_RACE_MS
     if (error === undefined || !wasRead || tookMs >= deadlineMs) return [undefined]
-    const theirs = runsOf.get(id) ?? []
-    if (theirs.some(({ answerLost }) => answerLost)) return [undefined]
-    const isExcused = stop && sentAtMs <= stop.atMs + LATE_AFTER_TERM_MS && theirs.some(({ endedAtMs: runEndMs = Number.POSITIVE_INFINITY }) => runEndMs >= stop.atMs + LAST_SIXTH_MS)
+    const ownRuns = runsOf.get(id) ?? []
+    if (ownRuns.some(({ answerLost }) => answerLost)) return [undefined]
+    const isExcused = stop && sentAtMs <= stop.atMs + LATE_REQUEST_AFTER_TERM_MS && ownRuns.some(({ endedAtMs: runEndMs = Number.POSITIVE_INFINITY }) => runEndMs >= stop.atMs + EXCUSED_RUN_END_MS)
     if (isExcused) return [undefined]
-    const when = stop ? `, sent ${Math.round(sentAtMs - stop.atMs)} ms and cut ${Math.round(endedAtMs - stop.atMs)} ms after SIGTERM` : ''
-    return [`${id} (${kind} at ${box}) was cut after ${Math.round(tookMs)} ms though nothing but planned work went on${when}: ${error}`]
+    const when = stop ? `, sent ${Math.round(sentAtMs - stop.atMs)} ms and interrupted ${Math.round(endedAtMs - stop.atMs)} ms after SIGTERM` : ''
+    return [`${id} (${kind} at ${box}) was interrupted after ${Math.round(tookMs)} ms though only planned work was going on${when}: ${error}`]
   })
 }
 
-/** A configuration is in force within its bound. */
-function checkConfiguration ({ probes, publications, isUnharmed }: BoundedHistory): Found {
-  const ofVersion = new Map(publications.map((publication) => [publication.version, publication]))
+/** A new configuration takes effect within its bound. */
+function checkConfigurations ({ probes, publications, isUndisrupted }: CheckedHistory): Findings {
+  const publicationOf = new Map(publications.map((publication) => [publication.version, publication]))
   return probes.flatMap(({ box, version, sentAtMs, endedAtMs, status }) => {
-    const publishedAtMs = ofVersion.get(version)?.atMs ?? Number.POSITIVE_INFINITY
-    const replacedAtMs = ofVersion.get(version + 1)?.atMs ?? Number.POSITIVE_INFINITY
-    const isInTouch = () => isUnharmed(box, [], { fromMs: sentAtMs - CONTACT_MS, toMs: endedAtMs })
-    if (status === NO_ROUTE && endedAtMs < replacedAtMs && sentAtMs > publishedAtMs + CONFIGURATION_BOUND_MS && isInTouch()) return [`${box} does not know version ${version} ${Math.round(sentAtMs - publishedAtMs)} ms after it was published`]
-    if (status === OK && sentAtMs > replacedAtMs + CONFIGURATION_BOUND_MS && isInTouch()) return [`${box} still serves version ${version} ${Math.round(sentAtMs - replacedAtMs)} ms after it was replaced`]
+    const publishedAtMs = publicationOf.get(version)?.atMs ?? Number.POSITIVE_INFINITY
+    const replacedAtMs = publicationOf.get(version + 1)?.atMs ?? Number.POSITIVE_INFINITY
+    const isSettled = () => isUndisrupted(box, [], { fromMs: sentAtMs - SETTLE_MS, toMs: endedAtMs })
+    if (status === NO_ROUTE && endedAtMs < replacedAtMs && sentAtMs > publishedAtMs + CONFIGURATION_BOUND_MS && isSettled()) return [`${box} does not know version ${version} ${Math.round(sentAtMs - publishedAtMs)} ms after it was published`]
+    if (status === OK && sentAtMs > replacedAtMs + CONFIGURATION_BOUND_MS && isSettled()) return [`${box} still serves version ${version} ${Math.round(sentAtMs - replacedAtMs)} ms after it was replaced`]
     return [undefined]
   })
 }
 
-/** Within one life of a box, no older version comes back. */
-function checkReverts ({ probes, publications }: BoundedHistory): Found {
-  const publishedAtMs = new Map(publications.map(({ version, atMs }) => [version, atMs]))
-  return [...groupBy(probes, ({ life }) => life).values()].flatMap((those) => those.map(({ box, version, sentAtMs, endedAtMs, status }) => {
-    const known = those.filter((probe) => probe.status === OK && probe.endedAtMs + REVERT_SLACK_MS < sentAtMs).map((probe) => probe.version)
-    const newest = Math.max(...known, 0)
-    const isReplaced = endedAtMs >= (publishedAtMs.get(version + 1) ?? Number.POSITIVE_INFINITY)
+/** One process of a box never returns to an older version. */
+function checkReverts ({ probes, publications }: CheckedHistory): Findings {
+  const publishedAtMsOf = new Map(publications.map(({ version, atMs }) => [version, atMs]))
+  return [...groupBy(probes, ({ incarnation }) => incarnation).values()].flatMap((incarnationProbes) => incarnationProbes.map(({ box, version, sentAtMs, endedAtMs, status }) => {
+    const knownVersions = incarnationProbes.filter((probe) => probe.status === OK && probe.endedAtMs + REVERT_SLACK_MS < sentAtMs).map((probe) => probe.version)
+    const newest = Math.max(...knownVersions, 0)
+    const isReplaced = endedAtMs >= (publishedAtMsOf.get(version + 1) ?? Number.POSITIVE_INFINITY)
     const isReverted = (status === OK && version < newest) || (status === NO_ROUTE && version === newest && !isReplaced)
-    return isReverted ? `${box} went back from version ${newest}: version ${version} is answered with ${status}` : undefined
+    return isReverted ? `${box} reverted from version ${newest}: a probe of version ${version} was answered with ${status}` : undefined
   }))
 }
--- a/__utils__/soak/src/checkLimits.ts
+++ b/__utils__/soak/src/checkLimits.ts
@@ -1,29 +1,29 @@
 import { fullestWindow } from '@reelspan/utils.fakes'
-import { type BoundedHistory } from './checkBounds.js'
+import { type CheckedHistory } from './checkBounds.js'
 
-/** A time for which an upstream named a limit. */
-export interface Naming {
+/** A period in which an upstream advertised a rate limit. */
+export interface LimitPeriod {
   instance: string
-  /** Requests a second from all boxes together. */
+  /** Requests per second from all boxes together. */
   perSecond: number
   fromMs: number
   toMs: number
 }
 
-/** Boxes have heard of a limit this long after it was first named. */
-const CONTACT_MS = 3000
-/** What an upstream may get in any such time, by its limit: half as much again, and five more. */
-const RULE = { burst: 0, windowMs: 4000, overage: 0.5, slack: 5 }
+/** All boxes know a limit this long after it was first advertised. */
+const SETTLE_MS = 3000
+/** In any window of this length an upstream may receive what its limit allows, plus half of that, plus five requests. */
+const LIMIT_ALLOWANCE = { burst: 0, windowMs: 4000, overage: 0.5, slack: 5 }
 
-/** No upstream gets more than it names, summed over the boxes that were unharmed. */
-export function checkLimits (namings: readonly Naming[], { attempts, arrivals, isUnharmed }: Pick<BoundedHistory, 'attempts' | 'arrivals' | 'isUnharmed'>): string[] {
+/** No upstream receives more requests than it advertises, counted over all undisrupted boxes. */
+export function checkLimits (limitPeriods: readonly LimitPeriod[], { attempts, arrivals, isUndisrupted }: Pick<CheckedHistory, 'attempts' | 'arrivals' | 'isUndisrupted'>): string[] {
   const boxOf = new Map(attempts.map(({ id, box }) => [id, box]))
-  return namings.flatMap(({ instance, perSecond, fromMs, toMs }) => {
-    const counted = arrivals.filter(({ id, instance: at, atMs }) => {
+  return limitPeriods.flatMap(({ instance, perSecond, fromMs, toMs }) => {
+    const countedArrivals = arrivals.filter(({ id, instance: at, atMs }) => {
       const box = boxOf.get(id)
-      return at === instance && box !== undefined && atMs >= fromMs + CONTACT_MS && atMs <= toMs && isUnharmed(box, [instance], { fromMs: atMs - CONTACT_MS, toMs: atMs })
+      return at === instance && box !== undefined && atMs >= fromMs + SETTLE_MS && atMs <= toMs && isUndisrupted(box, [instance], { fromMs: atMs - SETTLE_MS, toMs: atMs })
     })
-    const fullest = fullestWindow(counted.map(({ atMs }) => ({ atMs, cost: 1 })), { perSecond, ...RULE })
-    return fullest > 1 ? [`${instance} named a limit of ${perSecond} a second and got ${fullest.toFixed(2)} times what that allows`] : []
+    const usedShare = fullestWindow(countedArrivals.map(({ atMs }) => ({ atMs, cost: 1 })), { perSecond, ...LIMIT_ALLOWANCE })
+    return usedShare > 1 ? [`${instance} advertised a limit of ${perSecond} requests per second and received ${usedShare.toFixed(2)} times the allowance`] : []
   })
 }
--- a/__utils__/soak/src/faultProxy.ts
+++ b/__utils__/soak/src/faultProxy.ts
@@ -1,49 +1,49 @@
 import { once } from 'node:events'
 import { createServer, type Server, Socket } from 'node:net'
 
-/** What happens to bytes on a path. */
-export enum PathFault {
+/** Fault of a network path. */
+export enum NetworkFault {
   None = 'none',
-  /** Bytes wait until the fault is over, in both directions. */
+  /** Bytes are held back in both directions until the fault is over. */
   Silent = 'silent',
-  /** Bytes towards the server pass, answers wait. */
+  /** Bytes to the server pass; bytes to the client are held back. */
   NoAnswers = 'noAnswers',
-  /** Answers pass, bytes towards the server wait. */
+  /** Bytes to the client pass; bytes to the server are held back. */
   NoRequests = 'noRequests',
-  /** Bytes are passed on late. */
+  /** Bytes are forwarded with a delay. */
   Slow = 'slow',
-  /** Connections are reset, old and new. */
+  /** Open and new connections are reset. */
   Reset = 'reset',
 }
 
-/** Which way a connection carries nothing any more. */
-export enum Silence {
+/** Direction in which a connection drops all bytes. */
+export enum BlackholeDirection {
   BothWays = 'bothWays',
   ToServer = 'toServer',
   ToClient = 'toClient',
 }
 
-const SLOW_MS = 150
-const HOLDS_REQUESTS = [PathFault.Silent, PathFault.NoRequests]
-const HOLDS_ANSWERS = [PathFault.Silent, PathFault.NoAnswers]
-const SILENT_TO_SERVER = [Silence.BothWays, Silence.ToServer]
-const SILENT_TO_CLIENT = [Silence.BothWays, Silence.ToClient]
+const SLOW_DELAY_MS = 150
+const BLOCKS_REQUESTS = [NetworkFault.Silent, NetworkFault.NoRequests]
+const BLOCKS_ANSWERS = [NetworkFault.Silent, NetworkFault.NoAnswers]
+const BLACKHOLES_TO_SERVER = [BlackholeDirection.BothWays, BlackholeDirection.ToServer]
+const BLACKHOLES_TO_CLIENT = [BlackholeDirection.BothWays, BlackholeDirection.ToClient]
 
-/** A TCP proxy on loopback that harms what passes through it. */
+/** A TCP proxy on loopback that injects network faults. */
 export class FaultProxy {
   readonly #target: () => string
   readonly #server: Server
-  readonly #paths = new Set<Path>()
-  #fault = PathFault.None
+  readonly #connections = new Set<ProxiedConnection>()
+  #fault = NetworkFault.None
   address = ''
 
-  /** @param target where connections go, as `ip:port`, asked for each of them */
+  /** @param target returns the `ip:port` to connect to; called for each connection */
   constructor (target: () => string) {
     this.#target = target
     this.#server = createServer({ allowHalfOpen: true }, (client) => this.#accept(client))
   }
 
-  /** @param address where to listen; anywhere on loopback without */
+  /** @param address the `ip:port` to listen on; by default any free port on loopback */
   async start (address = '127.0.0.1:0'): Promise<void> {
     const [host, port] = address.split(':')
     this.#server.listen(Number(port), host)
@@ -51,72 +51,72 @@
     this.address = `${host}:${(this.#server.address() as { port: number }).port}`
   }
 
-  get fault (): PathFault {
+  get fault (): NetworkFault {
     return this.#fault
   }
 
-  set fault (fault: PathFault) {
+  set fault (fault: NetworkFault) {
     this.#fault = fault
-    if (fault === PathFault.Reset) this.#paths.forEach((path) => path.reset())
-    this.#paths.forEach((path) => path.flush())
+    if (fault === NetworkFault.Reset) this.#connections.forEach((connection) => connection.reset())
+    this.#connections.forEach((connection) => connection.flush())
   }
 
-  /** Silences open connections for good, without an end or a reset. New ones are let through. Answers how many there were. */
-  silenceOpen (silence: Silence, isChosen: () => boolean = () => true): number {
-    const chosen = [...this.#paths].filter(isChosen)
-    chosen.forEach((path) => path.silence(silence))
+  /** Blackholes open connections permanently, without closing or resetting them. New connections work. Returns the number of blackholed connections. */
+  silenceOpen (direction: BlackholeDirection, isChosen: () => boolean = () => true): number {
+    const chosen = [...this.#connections].filter(isChosen)
+    chosen.forEach((connection) => connection.blackhole(direction))
     return chosen.length
   }
 
   stop (): void {
-    this.#paths.forEach((path) => path.reset())
+    this.#connections.forEach((connection) => connection.reset())
     this.#server.close()
   }
 
   #accept (client: Socket): void {
-    if (this.#fault === PathFault.Reset) {
+    if (this.#fault === NetworkFault.Reset) {
       client.resetAndDestroy()
       return
     }
     const [host, port] = this.#target().split(':')
-    const path = new Path(client, new Socket({ allowHalfOpen: true }).connect(Number(port), host), () => this.#fault, () => this.#paths.delete(path))
-    this.#paths.add(path)
+    const connection = new ProxiedConnection(client, new Socket({ allowHalfOpen: true }).connect(Number(port), host), () => this.#fault, () => this.#connections.delete(connection))
+    this.#connections.add(connection)
   }
 }
 
 /** One connection through the proxy. */
-class Path {
+class ProxiedConnection {
   readonly #client: Socket
   readonly #server: Socket
-  readonly #toServer: Direction
-  readonly #toClient: Direction
+  readonly #toServer: OneWayPipe
+  readonly #toClient: OneWayPipe
 
-  constructor (client: Socket, server: Socket, fault: () => PathFault, onGone: () => void) {
+  constructor (client: Socket, server: Socket, fault: () => NetworkFault, onClosed: () => void) {
     this.#client = client
     this.#server = server
-    const isSlow = () => fault() === PathFault.Slow
-    this.#toServer = new Direction(client, server, { isHeld: () => HOLDS_REQUESTS.includes(fault()), isSlow })
-    this.#toClient = new Direction(server, client, { isHeld: () => HOLDS_ANSWERS.includes(fault()), isSlow })
-    const gone = ({ silent }: Direction) => () => {
-      // The other side of a silent connection hears nothing of this one's end.
+    const isSlow = () => fault() === NetworkFault.Slow
+    this.#toServer = new OneWayPipe(client, server, { isBlocked: () => BLOCKS_REQUESTS.includes(fault()), isSlow })
+    this.#toClient = new OneWayPipe(server, client, { isBlocked: () => BLOCKS_ANSWERS.includes(fault()), isSlow })
+    const closeHandlerOf = ({ silent }: OneWayPipe) => () => {
+      // The peer of a blackholed connection is not informed that this side has closed.
       if (!silent) this.reset()
-      if (client.destroyed && server.destroyed) onGone()
+      if (client.destroyed && server.destroyed) onClosed()
     }
-    client.on('error', gone(this.#toServer)).on('close', gone(this.#toServer))
-    server.on('error', gone(this.#toClient)).on('close', gone(this.#toClient))
+    client.on('error', closeHandlerOf(this.#toServer)).on('close', closeHandlerOf(this.#toServer))
+    server.on('error', closeHandlerOf(this.#toClient)).on('close', closeHandlerOf(this.#toClient))
   }
 
   reset (): void {
     [this.#client, this.#server].filter((socket) => !socket.destroyed).forEach((socket) => {
-      // A socket that has sent its end cannot be reset: libuv refuses, and Node would keep its handle for ever.
+      // A socket that has sent its end cannot be reset: libuv refuses, and Node would never release its handle.
       if (socket.writableEnded) socket.destroy()
       else socket.resetAndDestroy()
     })
   }
 
-  silence (silence: Silence): void {
-    this.#toServer.silent ||= SILENT_TO_SERVER.includes(silence)
-    this.#toClient.silent ||= SILENT_TO_CLIENT.includes(silence)
+  blackhole (direction: BlackholeDirection): void {
+    this.#toServer.silent ||= BLACKHOLES_TO_SERVER.includes(direction)
+    this.#toClient.silent ||= BLACKHOLES_TO_CLIENT.includes(direction)
   }
 
   flush (): void {
@@ -125,30 +125,30 @@
   }
 }
 
-/** Bytes, and the end, of one direction. What is held back comes later, in order; what comes into silence is lost. */
-class Direction {
-  readonly #to: Socket
-  readonly #isHeld: () => boolean
-  #held: (Buffer | undefined)[] = []
+/** Forwards bytes, and the end of the stream, in one direction. Bytes that are held back arrive later, in order; bytes that reach a blackholed connection are lost. */
+class OneWayPipe {
+  readonly #target: Socket
+  readonly #isBlocked: () => boolean
+  #buffered: (Buffer | undefined)[] = []
   silent = false
 
-  constructor (from: Socket, to: Socket, { isHeld, isSlow }: { isHeld: () => boolean, isSlow: () => boolean }) {
-    this.#to = to
-    this.#isHeld = isHeld
-    const take = (bytes?: Buffer) => {
+  constructor (source: Socket, target: Socket, { isBlocked, isSlow }: { isBlocked: () => boolean, isSlow: () => boolean }) {
+    this.#target = target
+    this.#isBlocked = isBlocked
+    const receive = (bytes?: Buffer) => {
       if (this.silent) return
-      this.#held.push(bytes)
-      if (isSlow()) setTimeout(() => this.flush(), SLOW_MS)
+      this.#buffered.push(bytes)
+      if (isSlow()) setTimeout(() => this.flush(), SLOW_DELAY_MS)
       else this.flush()
     }
-    from.on('data', take)
-    from.on('end', () => take())
+    source.on('data', receive)
+    source.on('end', () => receive())
   }
 
   flush (): void {
-    if (this.silent || this.#isHeld() || this.#to.destroyed) return
-    const ready = this.#held
-    this.#held = []
-    ready.forEach((bytes) => bytes ? this.#to.write(bytes) : this.#to.end())
+    if (this.silent || this.#isBlocked() || this.#target.destroyed) return
+    const ready = this.#buffered
+    this.#buffered = []
+    ready.forEach((bytes) => bytes ? this.#target.write(bytes) : this.#target.end())
   }
 }
--- a/__utils__/soak/src/faults.ts
+++ b/__utils__/soak/src/faults.ts
@@ -1,24 +1,24 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { type SeededRandom } from '@reelspan/utils.fakes'
 import { drawOne } from './drawOne.js'
-import { type FaultProxy, PathFault, Silence } from './faultProxy.js'
-import { EVERYTHING } from './harmLog.js'
-import { type SoakBox, type SoakFleet, type UpstreamPlace } from './soakFleet.js'
+import { type FaultProxy, NetworkFault, BlackholeDirection } from './faultProxy.js'
+import { ALL_SUBJECTS } from './harmLog.js'
+import { type SoakBox, type SoakFleet, type UpstreamReplica } from './soakFleet.js'
 
-/** What may happen to the system from outside. */
+/** Kinds of faults that are injected from outside. */
 export enum FaultKind {
   KillBox = 'killBox',
   KillMost = 'killMost',
   PauseBox = 'pauseBox',
   StopBox = 'stopBox',
   ChangeSettings = 'changeSettings',
-  /** SIGTERM, then SIGSTOP and SIGCONT while the box stops. */
+  /** Sends SIGTERM, then SIGSTOP and SIGCONT while the box stops. */
   PauseWhileStopping = 'pauseWhileStopping',
-  /** SIGTERM, then SIGKILL while the box stops. */
+  /** Sends SIGTERM, then SIGKILL while the box stops. */
   KillWhileStopping = 'killWhileStopping',
-  /** Configurations around a kill and a start. */
+  /** Publishes configurations before, during and after a kill and restart of a box. */
   RestartDuringChange = 'restartDuringChange',
-  /** SIGHUP again and again, then SIGTERM. */
+  /** Changes the settings and sends SIGHUP several times, then sends SIGTERM. */
   ReloadsThenStop = 'reloadsThenStop',
   StorePath = 'storePath',
   PeerPath = 'peerPath',
@@ -29,108 +29,108 @@
   StoreRefuses = 'storeRefuses',
   StoreSilent = 'storeSilent',
   StoreSlow = 'storeSlow',
-  /** Reads are stale, and after a change the history is lost, so that boxes read anew. */
+  /** The store serves stale reads and loses its history after a change, so that boxes read everything again. */
   StoreStale = 'storeStale',
   StoreForgets = 'storeForgets',
   CrashUpstream = 'crashUpstream',
   UpstreamLeaves = 'upstreamLeaves',
-  /** An upstream leaves while a box is cut from the store. */
+  /** An upstream starts draining while the path between a box and the store is faulty. */
   UpstreamLeavesWhileCut = 'upstreamLeavesWhileCut',
   ChangeConfiguration = 'changeConfiguration',
 }
 
-const SHORTEST_MS = 200
-const LONGEST_MS = 3000
-const LONGEST_STORE_DELAY_MS = 1500
+const MIN_FAULT_MS = 200
+const MAX_FAULT_MS = 3000
+const MAX_STORE_DELAY_MS = 1500
 const RELOADS = 3
-const RELOAD_GAP_MS = 150
-/** Most boxes that are killed at once: their starts share the machine's cores. */
-const MOST_KILLED = 12
-/** An upstream that leaves serves on for this long, past the time by which nothing new may reach it. */
-const LEAVING_MS = 3500
-/** News of a change is at the boxes by then. */
-const NEWS_MS = 400
-/** Configurations that a copy lacks. Only the last of them is written again, so that the store's revisions stay behind. */
+const RELOAD_INTERVAL_MS = 150
+/** Bounds the boxes that are killed at once, since their starts share the machine's cores. */
+const MAX_KILLED = 12
+/** How long a draining upstream keeps serving: longer than the bound after which nothing new may reach it. */
+const DRAIN_DURATION_MS = 3500
+/** Boxes have received an update by then. */
+const PROPAGATION_MS = 400
+/** Configurations that the backup lacks. Only the last one is written again, so that the store's revisions stay lower than before. */
 const LOST_PUBLICATIONS = 30
-/** Past a watch of a box, after which it acts on what it read. */
-const STALE_MS = 3000
-/** Part of the open connections of a path that go silent. */
-const SILENT_SHARE = 0.7
-/** A silent connection hides from an upstream what its caller does. By then those that were open have ended. */
-const SILENT_HARM_MS = 10_000
+/** Longer than one watch of a box, after which it applies what it has read. */
+const STALE_READS_MS = 3000
+/** Share of the open connections of a proxy that are blackholed. */
+const BLACKHOLED_SHARE = 0.7
+/** Over a blackholed connection an upstream cannot see that its caller has aborted. Requests on connections that were open have ended by then. */
+const BLACKHOLE_DISRUPTION_MS = 10_000
 
-export interface FaultsOptions {
+export interface FaultInjectorOptions {
   fleet: SoakFleet
   random: SeededRandom
-  violation: (text: string) => void
-  /** Whether a client waits for an answer of the box. */
+  onViolation: (text: string) => void
+  /** Whether a client is waiting for an answer of the box. */
   isBusy: (box: SoakBox) => boolean
 }
 
-/** Causes faults, several at a time, also on the same box. An upstream has one at once. */
-export class Faults {
-  readonly #opts: FaultsOptions
-  readonly #busy = new Set<object>()
-  readonly #active = new Set<Promise<void>>()
-  /** Every fault so far, in order. */
+/** Injects faults from outside, several at a time, also on the same box. An upstream has at most one fault at a time. */
+export class FaultInjector {
+  readonly #opts: FaultInjectorOptions
+  readonly #inUse = new Set<object>()
+  readonly #activeFaults = new Set<Promise<void>>()
+  /** Descriptions of all faults so far, in order. */
   readonly log: string[] = []
 
-  constructor (opts: FaultsOptions) {
+  constructor (opts: FaultInjectorOptions) {
     this.#opts = opts
   }
 
-  /** Begins a random fault, of those given, that ends by itself. */
-  begin (kinds: readonly FaultKind[]): void {
+  /** Starts a random fault of the given kinds. It ends by itself. */
+  injectRandom (kinds: readonly FaultKind[]): void {
     const kind = drawOne(this.#opts.random, kinds)
-    const durationMs = this.#drawMs(SHORTEST_MS, LONGEST_MS)
-    this.#note(`${kind} ${durationMs} ms`)
-    const running: Promise<void> = this.#cause(kind, durationMs)
-      .catch((thrown: unknown) => this.#opts.violation(`${kind}: ${String(thrown)}`))
-      .finally(() => this.#active.delete(running))
-    this.#active.add(running)
+    const durationMs = this.#drawMs(MIN_FAULT_MS, MAX_FAULT_MS)
+    this.#record(`${kind} ${durationMs} ms`)
+    const fault: Promise<void> = this.#inject(kind, durationMs)
+      .catch((thrown: unknown) => this.#opts.onViolation(`${kind}: ${String(thrown)}`))
+      .finally(() => this.#activeFaults.delete(fault))
+    this.#activeFaults.add(fault)
   }
 
   /** Resolves once every fault is over. */
-  async over (): Promise<void> {
-    while (this.#active.size > 0) await Promise.all(this.#active)
+  async waitUntilOver (): Promise<void> {
+    while (this.#activeFaults.size > 0) await Promise.all(this.#activeFaults)
   }
 
-  /** A planned stop and a new start. */
+  /** Stops a box as planned and starts it again. */
   async stopBox (box: SoakBox): Promise<void> {
-    const { fleet, violation, isBusy } = this.#opts
-    this.#note(`SIGTERM to ${box.name}`)
+    const { fleet, onViolation, isBusy } = this.#opts
+    this.#record(`SIGTERM to ${box.name}`)
     await fleet.stopBox(box, () => {
-      if (!isBusy(box) && box.pauses.length === 0) violation(`${box.name} did not stop within the grace, and answered nobody`)
+      if (!isBusy(box) && box.pauses.length === 0) onViolation(`${box.name} did not stop within the grace period though it had no request in flight`)
     })
   }
 
-  /** An upstream leaves, serves on past the bound, and ends. */
-  async leave (place: UpstreamPlace): Promise<void> {
+  /** Drains an upstream, keeps it serving past the bound for new requests, and restarts it. */
+  async drainUpstream (replica: UpstreamReplica): Promise<void> {
     const { fleet, random } = this.#opts
-    this.#note(`${place.instance} leaves`)
-    fleet.depart(place, { saysSo: random.nextFloat() < 0.7 })
-    await sleep(LEAVING_MS)
-    await fleet.waitIdle(place)
-    await this.#harming(place.name, async () => {
-      await fleet.crash(place)
-      await fleet.revive(place)
+    this.#record(`${replica.instance} starts draining`)
+    fleet.startDraining(replica, { marksEntry: random.nextFloat() < 0.7 })
+    await sleep(DRAIN_DURATION_MS)
+    await fleet.waitUntilIdle(replica)
+    await this.#withDisruption(replica.name, async () => {
+      await fleet.stopUpstream(replica)
+      await fleet.restartUpstream(replica)
     })
   }
 
-  /** The same, said by its responses alone: its entry stays as it was until it ends. */
-  async leaveUnlisted (place: UpstreamPlace): Promise<void> {
+  /** Drains an upstream that advertises it in its responses only. Its entry stays unchanged until it stops. */
+  async drainUnlisted (replica: UpstreamReplica): Promise<void> {
     const { fleet } = this.#opts
-    this.#note(`${place.instance} leaves, and its entry does not say so`)
-    fleet.advertiseDraining(place)
-    await sleep(LEAVING_MS + LEAVING_MS)
-    await fleet.waitIdle(place)
-    await this.#harming(place.name, async () => {
-      await fleet.crash(place)
-      await fleet.revive(place)
+    this.#record(`${replica.instance} starts draining without a change of its entry`)
+    fleet.advertiseDraining(replica)
+    await sleep(DRAIN_DURATION_MS + DRAIN_DURATION_MS)
+    await fleet.waitUntilIdle(replica)
+    await this.#withDisruption(replica.name, async () => {
+      await fleet.stopUpstream(replica)
+      await fleet.restartUpstream(replica)
     })
   }
 
-  async #cause (kind: FaultKind, durationMs: number): Promise<void> {
+  async #inject (kind: FaultKind, durationMs: number): Promise<void> {
     const { fleet, random } = this.#opts
     const { store } = fleet
     const box = drawOne(random, fleet.boxes)
@@ -142,30 +142,30 @@
       case FaultKind.StopBox: return this.stopBox(box)
       case FaultKind.ChangeSettings: return this.#changeSettings(box)
       case FaultKind.PauseWhileStopping: return this.#whileStopping(box, () => this.#pause(box, durationMs))
-      case FaultKind.KillWhileStopping: return this.#whileStopping(box, () => this.#kill(box, SHORTEST_MS))
+      case FaultKind.KillWhileStopping: return this.#whileStopping(box, () => this.#kill(box, MIN_FAULT_MS))
       case FaultKind.RestartDuringChange: return this.#restartDuringChange(box, durationMs)
       case FaultKind.ReloadsThenStop: return this.#reloadsThenStop(box)
-      case FaultKind.StorePath: return this.#harm(box.storePath, front, durationMs)
-      case FaultKind.PeerPath: return this.#harm(box.peerPath, front, durationMs)
-      case FaultKind.UpstreamPath: return this.#withFree(fleet.places, ({ proxy, name }) => this.#harm(proxy, name, durationMs))
-      case FaultKind.SilentStoreConnections: return this.#silence(box.storePath, front)
-      case FaultKind.SilentPeerConnections: return this.#silence(box.peerPath, EVERYTHING)
-      case FaultKind.SilentUpstreamConnections: return this.#silenceUpstream()
-      case FaultKind.StoreRefuses: return this.#whileStore(durationMs, () => { store.failWith = drawOne(random, [429, 503]) }, () => { store.failWith = undefined })
-      case FaultKind.StoreSilent: return this.#whileStore(durationMs, () => { store.mute = true }, () => { store.mute = false })
-      case FaultKind.StoreSlow: return this.#whileStore(durationMs, () => { store.delayMs = this.#drawMs(0, LONGEST_STORE_DELAY_MS) }, () => { store.delayMs = 0 })
-      case FaultKind.StoreStale: return this.#withFree([store], () => this.#storeStale())
-      case FaultKind.StoreForgets: return this.#whileStore(0, () => store.forgetHistory(), () => {})
+      case FaultKind.StorePath: return this.#disruptPath(box.storeProxy, front, durationMs)
+      case FaultKind.PeerPath: return this.#disruptPath(box.peerProxy, front, durationMs)
+      case FaultKind.UpstreamPath: return this.#withUnused(fleet.replicas, ({ proxy, name }) => this.#disruptPath(proxy, name, durationMs))
+      case FaultKind.SilentStoreConnections: return this.#blackhole(box.storeProxy, front)
+      case FaultKind.SilentPeerConnections: return this.#blackhole(box.peerProxy, ALL_SUBJECTS)
+      case FaultKind.SilentUpstreamConnections: return this.#blackholeUpstream()
+      case FaultKind.StoreRefuses: return this.#disruptStore(durationMs, () => { store.failWith = drawOne(random, [429, 503]) }, () => { store.failWith = undefined })
+      case FaultKind.StoreSilent: return this.#disruptStore(durationMs, () => { store.mute = true }, () => { store.mute = false })
+      case FaultKind.StoreSlow: return this.#disruptStore(durationMs, () => { store.delayMs = this.#drawMs(0, MAX_STORE_DELAY_MS) }, () => { store.delayMs = 0 })
+      case FaultKind.StoreStale: return this.#withUnused([store], () => this.#serveStaleReads())
+      case FaultKind.StoreForgets: return this.#disruptStore(0, () => store.forgetHistory(), () => {})
       case FaultKind.CrashUpstream: return this.#crashUpstream(durationMs)
-      case FaultKind.UpstreamLeaves: return this.#withFree(fleet.places, (place) => this.leave(place))
-      case FaultKind.UpstreamLeavesWhileCut: return this.#leaveWhileCut(box, durationMs)
+      case FaultKind.UpstreamLeaves: return this.#withUnused(fleet.replicas, (replica) => this.drainUpstream(replica))
+      case FaultKind.UpstreamLeavesWhileCut: return this.#drainWhileDisconnected(box, durationMs)
       case FaultKind.ChangeConfiguration: fleet.publish()
     }
   }
 
   async #kill (box: SoakBox, downMs: number): Promise<void> {
     const { fleet } = this.#opts
-    await this.#harming(box.addresses.front, async () => {
+    await this.#withDisruption(box.addresses.front, async () => {
       await fleet.killBox(box)
       await sleep(downMs)
       fleet.startBox(box)
@@ -173,8 +173,8 @@
   }
 
   async #killMost (downMs: number): Promise<void> {
-    const [, ...most] = this.#opts.fleet.boxes
-    await Promise.all(most.slice(0, MOST_KILLED).map((box) => this.#kill(box, downMs)))
+    const [, ...others] = this.#opts.fleet.boxes
+    await Promise.all(others.slice(0, MAX_KILLED).map((box) => this.#kill(box, downMs)))
   }
 
   async #pause (box: SoakBox, durationMs: number): Promise<void> {
@@ -194,7 +194,7 @@
 
   async #whileStopping (box: SoakBox, fault: () => Promise<void>): Promise<void> {
     const stopped = this.stopBox(box)
-    await sleep(this.#drawMs(SHORTEST_MS, LONGEST_MS))
+    await sleep(this.#drawMs(MIN_FAULT_MS, MAX_FAULT_MS))
     await Promise.all([stopped, fault()])
   }
 
@@ -211,125 +211,125 @@
   async #reloadsThenStop (box: SoakBox): Promise<void> {
     for (let i = 0; i < RELOADS; i++) {
       await this.#changeSettings(box)
-      await sleep(RELOAD_GAP_MS)
+      await sleep(RELOAD_INTERVAL_MS)
     }
     await this.stopBox(box)
   }
 
-  async #harm (path: FaultProxy, subject: string, durationMs: number): Promise<void> {
-    await this.#harming(subject, async () => {
-      path.fault = drawOne(this.#opts.random, Object.values(PathFault))
-      this.#note(`${subject}: path ${path.fault}`)
+  async #disruptPath (proxy: FaultProxy, subject: string, durationMs: number): Promise<void> {
+    await this.#withDisruption(subject, async () => {
+      proxy.fault = drawOne(this.#opts.random, Object.values(NetworkFault))
+      this.#record(`${subject}: path ${proxy.fault}`)
       await sleep(durationMs)
-      path.fault = PathFault.None
+      proxy.fault = NetworkFault.None
     })
   }
 
-  /** Open connections go silent for good; new ones work. */
-  async #silence (path: FaultProxy, subject: string): Promise<void> {
+  /** Blackholes open connections permanently. New connections work. */
+  async #blackhole (proxy: FaultProxy, subject: string): Promise<void> {
     const { fleet, random } = this.#opts
-    const silence = drawOne(random, Object.values(Silence))
-    const count = path.silenceOpen(silence, () => random.nextFloat() < SILENT_SHARE)
-    fleet.harms.note(subject)
-    this.#note(`${count} connections of ${subject} are silent ${silence}`)
+    const direction = drawOne(random, Object.values(BlackholeDirection))
+    const count = proxy.silenceOpen(direction, () => random.nextFloat() < BLACKHOLED_SHARE)
+    fleet.disruptions.record(subject)
+    this.#record(`${count} connections of ${subject} are blackholed ${direction}`)
   }
 
-  async #silenceUpstream (): Promise<void> {
+  async #blackholeUpstream (): Promise<void> {
     const { fleet, random } = this.#opts
-    const { proxy, name } = drawOne(random, fleet.places)
+    const { proxy, name } = drawOne(random, fleet.replicas)
     const fromMs = performance.now()
-    fleet.harms.note(name, { fromMs, toMs: fromMs + SILENT_HARM_MS })
-    await this.#silence(proxy, name)
+    fleet.disruptions.record(name, { fromMs, toMs: fromMs + BLACKHOLE_DISRUPTION_MS })
+    await this.#blackhole(proxy, name)
   }
 
-  async #whileStore (durationMs: number, begin: () => void, end: () => void): Promise<void> {
-    await this.#harming(EVERYTHING, async () => {
-      begin()
+  async #disruptStore (durationMs: number, start: () => void, end: () => void): Promise<void> {
+    await this.#withDisruption(ALL_SUBJECTS, async () => {
+      start()
       await sleep(durationMs)
       end()
     })
   }
 
-  async #storeStale (): Promise<void> {
+  async #serveStaleReads (): Promise<void> {
     const { fleet, fleet: { store } } = this.#opts
-    await this.#harming(EVERYTHING, async () => {
-      const stale = { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
-      fleet.staleReads.push(stale)
+    await this.#withDisruption(ALL_SUBJECTS, async () => {
+      const staleInterval = { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
+      fleet.staleReads.push(staleInterval)
       store.answerStaleReads()
       fleet.publish()
-      await sleep(NEWS_MS)
+      await sleep(PROPAGATION_MS)
       store.forgetHistory()
-      await sleep(STALE_MS)
+      await sleep(STALE_READS_MS)
       store.answerFreshReads()
-      stale.toMs = performance.now()
+      staleInterval.toMs = performance.now()
     })
   }
 
-  /** The store is away for a moment and comes back from a copy. Its writers write again what it has lost. */
-  async restoreStore (awayMs: number): Promise<void> {
+  /** Restores the store from a backup after a short outage. Its writers then repeat the writes that it has lost. */
+  async restoreStore (outageMs: number): Promise<void> {
     const { fleet, fleet: { store } } = this.#opts
-    this.#note(`the store comes back from a copy after ${awayMs} ms`)
-    await this.#harming(EVERYTHING, async () => {
+    this.#record(`the store is restored from a backup after an outage of ${outageMs} ms`)
+    await this.#withDisruption(ALL_SUBJECTS, async () => {
       const copy = store.copy()
       for (let i = 0; i < LOST_PUBLICATIONS; i++) fleet.publish()
-      await this.#withFree(fleet.places, async (place) => {
-        await fleet.crash(place)
-        await fleet.revive(place)
+      await this.#withUnused(fleet.replicas, async (replica) => {
+        await fleet.stopUpstream(replica)
+        await fleet.restartUpstream(replica)
       })
-      await sleep(NEWS_MS)
+      await sleep(PROPAGATION_MS)
       store.mute = true
-      await sleep(awayMs)
-      const stale = { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
-      fleet.staleReads.push(stale)
+      await sleep(outageMs)
+      const staleInterval = { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
+      fleet.staleReads.push(staleInterval)
       store.restore(copy)
       store.mute = false
-      await sleep(NEWS_MS)
-      fleet.writeAgain()
-      stale.toMs = performance.now()
+      await sleep(PROPAGATION_MS)
+      fleet.rewriteLostEntries()
+      staleInterval.toMs = performance.now()
     })
   }
 
   async #crashUpstream (downMs: number): Promise<void> {
     const { fleet } = this.#opts
-    await this.#withFree(fleet.places, (place) => this.#harming(place.name, async () => {
-      await fleet.crash(place)
+    await this.#withUnused(fleet.replicas, (replica) => this.#withDisruption(replica.name, async () => {
+      await fleet.stopUpstream(replica)
       await sleep(downMs)
-      await fleet.revive(place)
+      await fleet.restartUpstream(replica)
     }))
   }
 
-  async #leaveWhileCut (box: SoakBox, durationMs: number): Promise<void> {
+  async #drainWhileDisconnected (box: SoakBox, durationMs: number): Promise<void> {
     const { fleet } = this.#opts
-    const cut = this.#harm(box.storePath, box.addresses.front, durationMs)
-    await Promise.all([cut, this.#withFree(fleet.places, (place) => this.leave(place))])
+    const disruption = this.#disruptPath(box.storeProxy, box.addresses.front, durationMs)
+    await Promise.all([disruption, this.#withUnused(fleet.replicas, (replica) => this.drainUpstream(replica))])
   }
 
-  async #harming (subject: string, work: () => Promise<void>): Promise<void> {
-    const over = this.#opts.fleet.harms.begin(subject)
+  async #withDisruption (subject: string, work: () => Promise<void>): Promise<void> {
+    const endDisruption = this.#opts.fleet.disruptions.begin(subject)
     try {
       await work()
     } finally {
-      over()
+      endDisruption()
     }
   }
 
-  async #withFree<T extends object> (all: readonly T[], work: (one: T) => Promise<void>): Promise<void> {
-    const free = all.filter((one) => !this.#busy.has(one))
-    if (free.length === 0) return
-    const one = drawOne(this.#opts.random, free)
-    this.#busy.add(one)
+  async #withUnused<T extends object> (items: readonly T[], work: (item: T) => Promise<void>): Promise<void> {
+    const unused = items.filter((candidate) => !this.#inUse.has(candidate))
+    if (unused.length === 0) return
+    const item = drawOne(this.#opts.random, unused)
+    this.#inUse.add(item)
     try {
-      await work(one)
+      await work(item)
     } finally {
-      this.#busy.delete(one)
+      this.#inUse.delete(item)
     }
   }
 
-  #drawMs (leastMs: number, mostMs: number): number {
-    return Math.round(leastMs + this.#opts.random.nextFloat() * (mostMs - leastMs))
+  #drawMs (minMs: number, maxMs: number): number {
+    return Math.round(minMs + this.#opts.random.nextFloat() * (maxMs - minMs))
   }
 
-  #note (text: string): void {
+  #record (text: string): void {
     this.log.push(`${new Date().toISOString().slice(14, 23)} ${text}`)
   }
 }
--- a/__utils__/soak/src/groupBy.ts
+++ b/__utils__/soak/src/groupBy.ts
@@ -1,4 +1,4 @@
-/** The items under each key, in their order. */
+/** Groups items by key and keeps their order within each group. */
 export function groupBy<T> (items: readonly T[], keyOf: (item: T) => string): Map<string, T[]> {
   const groups = new Map<string, T[]>()
   items.forEach((item) => {
--- a/__utils__/soak/src/harmLog.ts
+++ b/__utils__/soak/src/harmLog.ts
@@ -1,43 +1,43 @@
-import { type Stall } from './stallWatch.js'
+import { type TimeInterval } from './stallWatch.js'
 
-/** What the harness did to something, by which it is judged what is promised then. */
-export enum HarmKind {
-  /** A stop that was asked for. */
+/** Whether the harness disrupts something by planned work or by a fault. Fewer guarantees hold under faults. */
+export enum DisruptionKind {
+  /** A stop by SIGTERM. */
   Planned = 'planned',
   Unplanned = 'unplanned',
 }
 
-interface Harm extends Stall {
-  kind: HarmKind
+interface Disruption extends TimeInterval {
+  kind: DisruptionKind
 }
 
-/** Subject of harm to what all boxes use. */
-export const EVERYTHING = 'everything'
+/** Subject of a disruption that affects all boxes. */
+export const ALL_SUBJECTS = 'everything'
 
-/** Notes what was harmed and when, by subject: the front address of a box, the name of an upstream's place, or everything. Times are on `performance.now()`. */
-export class HarmLog {
-  readonly #harms = new Map<string, Harm[]>()
+/** Records which subjects were disrupted and when. A subject is the front address of a box, the name of an upstream replica, or `ALL_SUBJECTS`. Times are on `performance.now()`. */
+export class DisruptionLog {
+  readonly #disruptions = new Map<string, Disruption[]>()
 
-  /** Notes the begin of a harm. The function that it answers notes its end. */
-  begin (subject: string, kind = HarmKind.Unplanned): () => void {
-    const harm = { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY, kind }
-    this.#of(subject).push(harm)
-    return () => { harm.toMs = Math.min(harm.toMs, performance.now()) }
+  /** Records the start of a disruption. The returned function records its end. */
+  begin (subject: string, kind = DisruptionKind.Unplanned): () => void {
+    const disruption = { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY, kind }
+    this.#disruptionsOf(subject).push(disruption)
+    return () => { disruption.toMs = Math.min(disruption.toMs, performance.now()) }
   }
 
-  /** Notes a harm of a known time, now without one. */
-  note (subject: string, { fromMs, toMs }: Stall = { fromMs: performance.now(), toMs: performance.now() }): void {
-    this.#of(subject).push({ fromMs, toMs, kind: HarmKind.Unplanned })
+  /** Records a disruption over a given interval, by default at the present moment. */
+  record (subject: string, { fromMs, toMs }: TimeInterval = { fromMs: performance.now(), toMs: performance.now() }): void {
+    this.#disruptionsOf(subject).push({ fromMs, toMs, kind: DisruptionKind.Unplanned })
   }
 
-  /** Whether nothing harmed the subjects, or everything, within a time. */
-  isUnharmed (subjects: readonly string[], { fromMs, toMs }: Stall, kinds: readonly HarmKind[] = Object.values(HarmKind)): boolean {
-    return [EVERYTHING, ...subjects].every((subject) => !this.#of(subject).some((harm) => kinds.includes(harm.kind) && harm.fromMs <= toMs && harm.toMs >= fromMs))
+  /** Whether no disruption of the given kinds affected the subjects within an interval. */
+  isUndisrupted (subjects: readonly string[], { fromMs, toMs }: TimeInterval, kinds: readonly DisruptionKind[] = Object.values(DisruptionKind)): boolean {
+    return [ALL_SUBJECTS, ...subjects].every((subject) => !this.#disruptionsOf(subject).some((disruption) => kinds.includes(disruption.kind) && disruption.fromMs <= toMs && disruption.toMs >= fromMs))
   }
 
-  #of (subject: string): Harm[] {
-    const harms = this.#harms.get(subject) ?? []
-    this.#harms.set(subject, harms)
-    return harms
+  #disruptionsOf (subject: string): Disruption[] {
+    const disruptions = this.#disruptions.get(subject) ?? []
+    this.#disruptions.set(subject, disruptions)
+    return disruptions
   }
 }
--- a/__utils__/soak/src/main.ts
+++ b/__utils__/soak/src/main.ts
@@ -1,7 +1,7 @@
 import { readFile } from 'node:fs/promises'
 import meow from 'meow'
 import { FaultKind } from './faults.js'
-import { keepLogs } from './keepLogs.js'
+import { saveLogs } from './keepLogs.js'
 import { soak, type SoakResult } from './soak.js'
 import { stopFleets } from './soakFleet.js'
 
@@ -10,21 +10,21 @@
     $ npm run soak -- [options]
 
   Options
-    --seed N      The first seed (drawn and printed when left out)
-    --seeds N     Seeds in a row, 1 without
-    --known       Play the seeds that ever failed, in place of others
-    --minutes M   Go on with fresh seeds for so long
-    --rounds N    Rounds of faults a seed, 1 without
-    --boxes N     Boxes, 6 without
-    --clients N   Clients, 12 without
-    --kinds A,B   Kinds of faults in place of drawn ones, as faults.ts names them
-    --logs DIR    Where logs of failed seeds are kept, the folder for temporary files without
+    --seed N      First seed (default: taken from the clock; printed with each result)
+    --seeds N     Number of consecutive seeds to run (default 1)
+    --known       Run the recorded seeds that once failed instead
+    --minutes M   Keep running further seeds for this many minutes
+    --rounds N    Rounds of faults per seed (default 1)
+    --boxes N     Number of boxes (default 6)
+    --clients N   Number of clients (default 12)
+    --kinds A,B   Fault kinds to use instead of random ones (see faults.ts)
+    --logs DIR    Where to save the logs of failed seeds (default: the folder for temporary files)
 `
 const KNOWN_SEEDS = new URL('../seeds.json', import.meta.url)
-const MOST_SHOWN = 20
+const MAX_VIOLATIONS_SHOWN = 20
 const MS_PER_MINUTE = 60_000
 
-/** The `soak` command. Resolves with its exit code. */
+/** Runs the `soak` command. Resolves with its exit code. */
 export async function main (argv: readonly string[]): Promise<number> {
   const { flags } = meow(HELP, {
     importMeta: import.meta,
@@ -42,43 +42,43 @@
     },
     allowUnknownFlags: false,
   })
-  const first = flags.seed ?? Date.now() % 1_000_000
+  const firstSeed = flags.seed ?? Date.now() % 1_000_000
   const untilMs = performance.now() + flags.minutes * MS_PER_MINUTE
-  const endBoxesToo = () => { void stopFleets().then(() => process.exit(1)) }
-  process.once('SIGTERM', endBoxesToo).once('SIGINT', endBoxesToo)
-  const kinds = flags.kinds?.split(',').map(faultKindOf)
-  const failed: number[] = []
-  const seeds: KnownSeed[] = flags.known ? await knownSeeds() : Array.from({ length: flags.seeds }, (_, i) => ({ seed: first + i }))
+  const stopFleetsAndExit = () => { void stopFleets().then(() => process.exit(1)) }
+  process.once('SIGTERM', stopFleetsAndExit).once('SIGINT', stopFleetsAndExit)
+  const kinds = flags.kinds?.split(',').map(parseFaultKind)
+  const failedSeeds: number[] = []
+  const seeds: KnownSeed[] = flags.known ? await readKnownSeeds() : Array.from({ length: flags.seeds }, (_, i) => ({ seed: firstSeed + i }))
   for (let i = 0; i < seeds.length || performance.now() < untilMs; i++) {
-    const { seed, kinds: knownKinds } = seeds[i] ?? { seed: first + i }
+    const { seed, kinds: knownKinds } = seeds[i] ?? { seed: firstSeed + i }
     const result = await soak({ seed, boxes: flags.boxes, clients: flags.clients, rounds: flags.rounds, kinds: kinds ?? knownKinds })
-    if (result.violations.length > 0) failed.push(seed)
-    await report(seed, result, flags.logs)
+    if (result.violations.length > 0) failedSeeds.push(seed)
+    await reportResult(seed, result, flags.logs)
   }
-  console.log(failed.length > 0 ? `failed seeds: ${failed.join(', ')}` : 'no promise broken')
-  return failed.length > 0 ? 1 : 0
+  console.log(failedSeeds.length > 0 ? `failed seeds: ${failedSeeds.join(', ')}` : 'no violations')
+  return failedSeeds.length > 0 ? 1 : 0
 }
 
-/** A seed that failed once, and the kinds of faults that it had drawn. */
+/** A seed that once failed, with the fault kinds that it drew then. */
 export interface KnownSeed {
   seed: number
   kinds?: FaultKind[]
 }
 
-export async function knownSeeds (): Promise<KnownSeed[]> {
+export async function readKnownSeeds (): Promise<KnownSeed[]> {
   return JSON.parse(await readFile(KNOWN_SEEDS, 'utf8')) as KnownSeed[]
 }
 
-function faultKindOf (name: string): FaultKind {
+function parseFaultKind (name: string): FaultKind {
   const kind = Object.values(FaultKind).find((known) => known === name)
-  if (kind === undefined) throw new Error(`no kind of fault is called ${name}: ${Object.values(FaultKind).join(', ')}`)
+  if (kind === undefined) throw new Error(`unknown fault kind ${name}; expected one of: ${Object.values(FaultKind).join(', ')}`)
   return kind
 }
 
-async function report (seed: number, result: SoakResult, logs?: string): Promise<void> {
-  const { attempts, outcomes, faults, violations, tookMs, judged, memory } = result
-  console.log(`seed ${seed}: ${attempts} attempts ${JSON.stringify(outcomes)}, ${faults.length} faults, ${violations.length} violations, judged ${JSON.stringify(judged)}, ${memory.processes} processes with ${memory.sharedOnceMb} MB, took ${JSON.stringify(tookMs)} ms`)
+async function reportResult (seed: number, result: SoakResult, logs?: string): Promise<void> {
+  const { attempts, outcomes, faults, violations, durationsMs, checkCounts, memory } = result
+  console.log(`seed ${seed}: ${attempts} attempts ${JSON.stringify(outcomes)}, ${faults.length} faults, ${violations.length} violations, checked ${JSON.stringify(checkCounts)}, ${memory.processes} processes with ${memory.pssMb} MB, took ${JSON.stringify(durationsMs)} ms`)
   if (violations.length === 0) return
-  const shown = violations.length > MOST_SHOWN ? [...violations.slice(0, MOST_SHOWN), `and ${violations.length - MOST_SHOWN} more`] : violations
-  console.log([...shown, `faults: ${faults.join('; ')}`, `logs of the boxes: ${await keepLogs(seed, result, logs)}`].map((line) => `  ${line}`).join('\n'))
+  const shownViolations = violations.length > MAX_VIOLATIONS_SHOWN ? [...violations.slice(0, MAX_VIOLATIONS_SHOWN), `and ${violations.length - MAX_VIOLATIONS_SHOWN} more`] : violations
+  console.log([...shownViolations, `faults: ${faults.join('; ')}`, `logs of the boxes: ${await saveLogs(seed, result, logs)}`].map((line) => `  ${line}`).join('\n'))
 }
--- a/__utils__/soak/src/requestShape.ts
+++ b/__utils__/soak/src/requestShape.ts
@@ -3,29 +3,29 @@
 import { isStream, type RouteKind } from './attempt.js'
 import { drawOne } from './drawOne.js'
 
-/** Part of the requests that are more than the usual few milliseconds of work. */
-const LONG_SHARE = 0.2
-const LONG_CALL_MS = 700
-/** Pauses between the events of long streams. The longest is beyond the gap that the route aims at. */
-const LONG_PAUSES_MS = [100, 150, 500]
-const LONG_STREAM_MS = { least: 2000, most: 6000 }
-const SHAPE = /-e(\d+)-p(\d+)$/
+/** Share of the requests that take longer than the default few milliseconds. */
+const LONG_REQUEST_SHARE = 0.2
+const LONG_CALL_DURATION_MS = 700
+/** Intervals between the events of long streams. The longest exceeds the gap that the route sets as its target. */
+const LONG_EVENT_INTERVALS_MS = [100, 150, 500]
+const LONG_STREAM_DURATION_MS = { least: 2000, most: 6000 }
+const SHAPE_SUFFIX = /-e(\d+)-p(\d+)$/
 
-/** Draws what a request asks of its upstream. Nothing for one of the usual size. */
+/** Draws the amount of work that a request causes at its upstream, or undefined for the default amount. */
 export function drawShape (random: SeededRandom, kind: RouteKind): RequestShape | undefined {
-  if (random.nextFloat() >= LONG_SHARE) return undefined
-  if (!isStream(kind)) return { events: 1, workMs: LONG_CALL_MS }
-  const workMs = drawOne(random, LONG_PAUSES_MS)
-  const wholeMs = LONG_STREAM_MS.least + random.nextFloat() * (LONG_STREAM_MS.most - LONG_STREAM_MS.least)
-  return { events: Math.round(wholeMs / workMs), workMs }
+  if (random.nextFloat() >= LONG_REQUEST_SHARE) return undefined
+  if (!isStream(kind)) return { events: 1, workMs: LONG_CALL_DURATION_MS }
+  const workMs = drawOne(random, LONG_EVENT_INTERVALS_MS)
+  const durationMs = LONG_STREAM_DURATION_MS.least + random.nextFloat() * (LONG_STREAM_DURATION_MS.most - LONG_STREAM_DURATION_MS.least)
+  return { events: Math.round(durationMs / workMs), workMs }
 }
 
-/** A request's id says its shape, so that the upstream knows it whatever way the request came. */
-export function idOfShape (id: string, shape?: RequestShape): string {
+/** Appends the shape to a request's id, so that the upstream can read it whichever box forwards the request. */
+export function appendShape (id: string, shape?: RequestShape): string {
   return shape ? `${id}-e${shape.events}-p${shape.workMs}` : id
 }
 
-export function shapeOfId (id: string): RequestShape | undefined {
-  const [, events, workMs] = SHAPE.exec(id) ?? []
+export function parseShape (id: string): RequestShape | undefined {
+  const [, events, workMs] = SHAPE_SUFFIX.exec(id) ?? []
   return events === undefined ? undefined : { events: Number(events), workMs: Number(workMs) }
 }
--- a/__utils__/soak/src/soak.ts
+++ b/__utils__/soak/src/soak.ts
@@ -8,83 +8,83 @@
 import { checkHistory } from './checkHistory.js'
 import { SoakClient } from './client.js'
 import { drawOne } from './drawOne.js'
-import { FaultKind, Faults } from './faults.js'
+import { FaultKind, FaultInjector } from './faults.js'
 import { groupBy } from './groupBy.js'
-import { type HarmKind } from './harmLog.js'
+import { type DisruptionKind } from './harmLog.js'
 import { measureMemory } from './measureMemory.js'
-import { ACCOUNT, CALLERS_KEY, keyOf, type SoakBox, SoakFleet } from './soakFleet.js'
-import { overlaps, type Stall, StallWatch } from './stallWatch.js'
+import { ACCOUNT, DEFAULT_KEY, keyOf, type SoakBox, SoakFleet } from './soakFleet.js'
+import { overlaps, type TimeInterval, StallDetector } from './stallWatch.js'
 
 export interface SoakOptions {
   seed: number
   boxes: number
   clients: number
-  /** Rounds of faults, each followed by a calm of planned work alone. */
+  /** Rounds of faults, each followed by a phase with planned work only. */
   rounds: number
-  /** Kinds of faults in place of drawn ones. */
+  /** Fault kinds to use instead of random ones. */
   kinds?: readonly FaultKind[]
 }
 
 export interface SoakResult {
   attempts: number
-  /** Attempts by their status, `broken` or `left`. */
+  /** Number of attempts by HTTP status, `broken` for those that ended with an error, or `left` for those that the client aborted. */
   outcomes: Record<string, number>
   faults: string[]
   violations: string[]
-  /** What each bound was judged on. */
-  judged: Record<string, number>
-  /** How long each part took. */
-  tookMs: Record<string, number>
-  memory: { processes: number, sharedOnceMb: number }
-  /** What each box wrote. */
+  /** Number of cases that each check examined. */
+  checkCounts: Record<string, number>
+  /** Duration of each phase. */
+  durationsMs: Record<string, number>
+  memory: { processes: number, pssMb: number }
+  /** Output of each box. */
   logs: Record<string, string>
 }
 
-/** A start takes about a second; this leaves room for a machine that is busy with other tests. */
-const READY_LIMIT_MS = 40_000
-const TROUBLE_MS = 7000
-const LONGEST_GAP_MS = 700
-/** Longest time for which the store is away before it comes back from a copy. */
-const LONGEST_AWAY_MS = 2500
-/** Kinds of faults in one round. With few, some boxes stay unharmed, and bounds are judged there. */
-const KINDS_A_ROUND = { least: 2, most: 6 }
-/** This long after the last fault, bounds hold. */
-const CONTACT_MS = 3000
-const PUBLISH_GAP_MS = 2500
-const PUBLICATIONS = 3
-/** Boxes that are stopped as planned in each calm, one after the other. */
-const PLANNED_STOPS = 2
-/** A request that was sent this long ago is with an upstream, most likely. */
+/** A start takes about a second. The timeout allows for a machine that is busy with other tests. */
+const READY_TIMEOUT_MS = 40_000
+const FAULT_PHASE_MS = 7000
+const MAX_FAULT_GAP_MS = 700
+/** Maximum outage of the store before it is restored from a backup. */
+const MAX_STORE_OUTAGE_MS = 2500
+/** Number of fault kinds per round. With few kinds, some boxes stay undisrupted, and time bounds can be checked there. */
+const FAULT_KINDS_PER_ROUND = { least: 2, most: 6 }
+/** Time bounds hold again this long after the last fault. */
+const SETTLE_MS = 3000
+const PUBLISH_INTERVAL_MS = 2500
+const PUBLICATIONS_PER_ROUND = 3
+/** Planned stops of boxes per round, one after the other. */
+const PLANNED_STOPS_PER_ROUND = 2
+/** A request that was sent this long ago has most likely reached an upstream. */
 const BUSY_AFTER_MS = 15
-const BUSY_POLL_MS = 5
-/** Clients ask anew which boxes to use every two seconds. */
-const BUSY_LIMIT_MS = 5000
-const LONGEST_PAUSE_MS = 80
-const PROBE_GAP_MS = 40
+const BUSY_POLL_INTERVAL_MS = 5
+/** Clients refresh their box addresses every two seconds, so every box receives a request within this time. */
+const BUSY_TIMEOUT_MS = 5000
+const MAX_SEND_PAUSE_MS = 80
+const PROBE_INTERVAL_MS = 40
 const PROBE_DEADLINE_MS = 1500
-/** Keys of this many versions are tried: those that went of late. */
-const VERSIONS_TRIED = 4
-/** Every so many clients, one holds old addresses. */
-const HOLDERS_AMONG = 3
-/** Prefill results that nobody takes lapse by then. */
-const HANDLES_GONE_MS = 1500
-/** An upstream names a limit for some seconds after boxes must know it. */
-const LIMITED_MS = 9000
+/** Keys are probed for the newest versions of the configuration: the current one and the recently replaced ones. */
+const PROBED_KEY_VERSIONS = 4
+/** Every third client uses box addresses past their TTL. */
+const STALE_CLIENT_STRIDE = 3
+/** Unclaimed prefill results have expired by then. */
+const HANDLE_EXPIRY_MS = 1500
+/** How long an upstream advertises a rate limit: some seconds longer than boxes may take to learn of it. */
+const LIMIT_DURATION_MS = 9000
 const LIMITS_PER_SECOND = [0.5, 2, 3, 5]
-/** An upstream refuses for a part of the time for which it asks for nothing. */
-const REFUSING_MS = 1500
-const BACKOFF_MS = 2500
-/** Attempts by which it is judged whether the system serves again. */
+/** How long an upstream refuses all requests. Shorter than the backoff that it asks for. */
+const REFUSAL_DURATION_MS = 1500
+const REFUSAL_BACKOFF_MS = 2500
+/** Number of attempts that decide whether the system has recovered. */
 const RECOVERY_ATTEMPTS = 40
-const RECOVERY_SHARE = 0.8
+const MIN_RECOVERY_SHARE = 0.8
 
-/** Runs the soak. Never throws for what it finds: see `violations`. */
+/** Runs one seed of the soak test. Reports failures as `violations` instead of throwing. */
 export async function soak (opts: SoakOptions): Promise<SoakResult> {
   const random = new SeededRandom(opts.seed)
   const fleet = await SoakFleet.start(random, opts.boxes)
   const run = new SoakRun(fleet, random, opts)
   try {
-    await run.play()
+    await run.run()
   } catch (thrown) {
     run.violations.push(String(thrown))
   } finally {
@@ -97,26 +97,24 @@
   readonly violations: string[] = []
   readonly #fleet: SoakFleet
   readonly #random: SeededRandom
-  /** Apart from the clients', whose draws come in whatever order they are answered. */
+  /** Separate from the clients' generator, which is used in the order in which answers arrive. */
   readonly #faultRandom: SeededRandom
   readonly #opts: SoakOptions
-  readonly #faults: Faults
+  readonly #faults: FaultInjector
   readonly #clients: SoakClient[]
-  readonly #ended: Attempt[] = []
+  readonly #endedAttempts: Attempt[] = []
   readonly #probes: (Probe & { id: string })[] = []
   readonly #keyProbes: KeyProbe[] = []
-  /** Apart from the others, whose draws stay what they were. */
+  // Each of these draws from a generator of its own, so that it does not change the draws of the others.
   readonly #keyRandom: SeededRandom
-  /** Apart for the same reason. */
   readonly #limitRandom: SeededRandom
-  /** Apart as well. */
   readonly #signalRandom: SeededRandom
   readonly #restoreRandom: SeededRandom
-  readonly #stalls: StallWatch
-  readonly #tookMs: Record<string, number> = {}
-  #judged: Record<string, number> = {}
-  #memory = { processes: 0, sharedOnceMb: 0 }
-  #sending = true
+  readonly #stallDetector: StallDetector
+  readonly #durationsMs: Record<string, number> = {}
+  #checkCounts: Record<string, number> = {}
+  #memory = { processes: 0, pssMb: 0 }
+  #isSending = true
 
   constructor (fleet: SoakFleet, random: SeededRandom, opts: SoakOptions) {
     this.#fleet = fleet
@@ -127,63 +125,63 @@
     this.#limitRandom = new SeededRandom(opts.seed)
     this.#signalRandom = new SeededRandom(opts.seed)
     this.#restoreRandom = new SeededRandom(opts.seed)
-    this.#stalls = new StallWatch(fleet.boxes)
-    this.#faults = new Faults({ fleet, random: this.#faultRandom, violation: (text) => this.violations.push(text), isBusy: (box) => this.#isBusy(box) })
-    this.#clients = Array.from({ length: opts.clients }, (_, i) => new SoakClient(`c${i}`, { random, boxes: fleet.boxes, holds: i % HOLDERS_AMONG === 0 }))
+    this.#stallDetector = new StallDetector(fleet.boxes)
+    this.#faults = new FaultInjector({ fleet, random: this.#faultRandom, onViolation: (text) => this.violations.push(text), isBusy: (box) => this.#isBusy(box) })
+    this.#clients = Array.from({ length: opts.clients }, (_, i) => new SoakClient(`c${i}`, { random, boxes: fleet.boxes, holds: i % STALE_CLIENT_STRIDE === 0 }))
   }
 
-  async play (): Promise<void> {
-    const sending = [...this.#clients.map((client) => this.#keepSending(client)), this.#keepProbing(), this.#keepTryingKeys()]
+  async run (): Promise<void> {
+    const loops = [...this.#clients.map((client) => this.#sendContinuously(client)), this.#probeContinuously(), this.#probeKeysContinuously()]
     try {
       for (let round = 0; round < this.#opts.rounds; round++) {
-        await this.#timed('trouble', () => this.#trouble())
-        await this.#timed('calm', () => this.#calm())
+        await this.#measure('trouble', () => this.#injectFaults())
+        await this.#measure('calm', () => this.#runPlannedWork())
       }
-      await this.#timed('recovery', () => this.#checkRecovery())
+      await this.#measure('recovery', () => this.#checkRecovery())
     } finally {
-      this.#stalls.stop()
+      this.#stallDetector.stop()
       this.#memory = measureMemory([process.pid, ...this.#fleet.boxes.filter(({ process }) => process.running).map(({ process }) => process.pid)])
-      this.#sending = false
-      await this.#timed('ends', () => Promise.all(sending))
+      this.#isSending = false
+      await this.#measure('ends', () => Promise.all(loops))
       await Promise.all(this.#clients.map((client) => client.close()))
     }
-    await sleep(HANDLES_GONE_MS)
-    this.#judge()
+    await sleep(HANDLE_EXPIRY_MS)
+    this.#check()
   }
 
   result (): SoakResult {
     const attempts = this.#attempts()
-    const outcomes = groupBy(attempts, ({ status, error, leftAtMs }) => leftAtMs !== undefined ? 'left' : error === undefined ? String(status) : 'broken')
+    const outcomes = groupBy(attempts, ({ status, error, abortedAtMs }) => abortedAtMs !== undefined ? 'left' : error === undefined ? String(status) : 'broken')
     return {
       attempts: attempts.length,
-      outcomes: Object.fromEntries([...outcomes].map(([outcome, those]) => [outcome, those.length])),
+      outcomes: Object.fromEntries([...outcomes].map(([outcome, group]) => [outcome, group.length])),
       faults: this.#faults.log,
-      tookMs: this.#tookMs,
-      judged: this.#judged,
+      durationsMs: this.#durationsMs,
+      checkCounts: this.#checkCounts,
       memory: this.#memory,
       violations: this.violations,
-      logs: Object.fromEntries(this.#fleet.boxes.map(({ name, process, pastOutput }) => [name, pastOutput + process.output])),
+      logs: Object.fromEntries(this.#fleet.boxes.map(({ name, process, earlierOutput }) => [name, earlierOutput + process.output])),
     }
   }
 
-  #judge (): void {
+  #check (): void {
     const { fleet, attempts } = { fleet: this.#fleet, attempts: this.#attempts() }
     const { runs, arrivals, departures, publications, stops, handles } = fleet
-    if (handles.size > 0) this.violations.push(`${handles.size} prefill results are held for nobody`)
-    attempts.forEach((attempt) => { attempt.stoodStill = this.#stoodStill(attempt) })
+    if (handles.size > 0) this.violations.push(`${handles.size} prefill results are still held though no request uses them`)
+    attempts.forEach((attempt) => { attempt.wasStalled = this.#wasStalled(attempt) })
     const probes = this.#probes.map((probe): Attempt => ({ ...probe, kind: RouteKind.Repeatable, deadlineMs: PROBE_DEADLINE_MS, body: `done ${probe.id}`, retryAfter: '' }))
-    const history = { attempts: [...attempts, ...probes], runs, arrivals, departures, publications, stops, probes: this.#probes, isUnharmed: this.#isUnharmed.bind(this) }
+    const history = { attempts: [...attempts, ...probes], runs, arrivals, departures, publications, stops, probes: this.#probes, isUndisrupted: this.#isUndisrupted.bind(this) }
     const bounds = checkBounds(history)
-    const signals = checkSignals({ ...history, draining: fleet.draining, refusing: fleet.refusing })
-    this.#judged = { ...bounds.judged, ...signals.judged, keys: this.#keyProbes.length, limits: fleet.namings.length }
-    // Calls with keys that come and go are judged by their keys alone.
-    const tried = new Set(this.#keyProbes.map(({ id }) => id))
-    this.violations.push(...fleet.problems, ...checkHistory([...attempts, ...probes], runs.filter(({ id }) => !tried.has(id))), ...bounds.violations, ...checkLimits(fleet.namings, history), ...signals.violations, ...this.#keyViolations())
+    const signals = checkSignals({ ...history, draining: fleet.draining, refusals: fleet.refusals })
+    this.#checkCounts = { ...bounds.checkCounts, ...signals.checkCounts, keys: this.#keyProbes.length, limits: fleet.limitPeriods.length }
+    // Calls with keys that expire are checked by checkKeys only.
+    const keyProbeIds = new Set(this.#keyProbes.map(({ id }) => id))
+    this.violations.push(...fleet.problems, ...checkHistory([...attempts, ...probes], runs.filter(({ id }) => !keyProbeIds.has(id))), ...bounds.violations, ...checkLimits(fleet.limitPeriods, history), ...signals.violations, ...this.#checkKeys())
   }
 
-  #keyViolations (): string[] {
+  #checkKeys (): string[] {
     const { runs, publications, received, staleReads } = this.#fleet
-    const keys = [CALLERS_KEY, ...publications.map(({ version }) => keyOf(version))]
+    const keys = [DEFAULT_KEY, ...publications.map(({ version }) => keyOf(version))]
     return checkKeys({ probes: this.#keyProbes, runs, publications, received, staleReads, keys, account: ACCOUNT })
   }
 
@@ -191,140 +189,140 @@
     return this.#clients.flatMap(({ attempts }) => attempts)
   }
 
-  #stallsOf (box: string): Stall[] {
+  #stallsOf (box: string): TimeInterval[] {
     const pauses = this.#fleet.boxes.find(({ addresses }) => addresses.front === box)?.pauses ?? []
-    return [...pauses, ...this.#stalls.stalls]
+    return [...pauses, ...this.#stallDetector.stalls]
   }
 
-  #stoodStill ({ box, sentAtMs, endedAtMs = Number.POSITIVE_INFINITY }: Attempt): boolean {
+  #wasStalled ({ box, sentAtMs, endedAtMs = Number.POSITIVE_INFINITY }: Attempt): boolean {
     return overlaps(this.#stallsOf(box), sentAtMs, endedAtMs)
   }
 
-  #isUnharmed (box: string, instances: readonly string[], within: Stall, kinds?: readonly HarmKind[]): boolean {
-    const subjects = [box, ...instances.map((instance) => this.#fleet.placeNameOf(instance))]
-    return this.#fleet.harms.isUnharmed(subjects, within, kinds) && !overlaps(this.#stallsOf(box), within.fromMs, within.toMs)
+  #isUndisrupted (box: string, instances: readonly string[], within: TimeInterval, kinds?: readonly DisruptionKind[]): boolean {
+    const subjects = [box, ...instances.map((instance) => this.#fleet.replicaNameOf(instance))]
+    return this.#fleet.disruptions.isUndisrupted(subjects, within, kinds) && !overlaps(this.#stallsOf(box), within.fromMs, within.toMs)
   }
 
-  async #keepSending (client: SoakClient): Promise<void> {
-    while (this.#sending) {
+  async #sendContinuously (client: SoakClient): Promise<void> {
+    while (this.#isSending) {
       const attempt = await client.send()
-      if (attempt) this.#ended.push(attempt)
-      await sleep(this.#random.nextFloat() * LONGEST_PAUSE_MS)
+      if (attempt) this.#endedAttempts.push(attempt)
+      await sleep(this.#random.nextFloat() * MAX_SEND_PAUSE_MS)
     }
   }
 
-  /** Asks boxes for the routes of the newest configuration and of the one before it, all the while. */
-  async #keepProbing (): Promise<void> {
-    while (this.#sending) {
+  /** Continuously probes random boxes for the routes of the newest and the previous configuration. */
+  async #probeContinuously (): Promise<void> {
+    while (this.#isSending) {
       const { newestVersion } = this.#fleet
       const version = Math.max(1, drawOne(this.#random, [newestVersion, newestVersion - 1]))
       await this.#probe(drawOne(this.#random, this.#fleet.boxes), version)
-      await sleep(PROBE_GAP_MS)
+      await sleep(PROBE_INTERVAL_MS)
     }
   }
 
-  /** Tries keys that are declared, or were until a moment ago, at all boxes and all the while. */
-  async #keepTryingKeys (): Promise<void> {
-    while (this.#sending) {
-      const version = Math.max(1, this.#fleet.newestVersion - this.#keyRandom.nextInt(VERSIONS_TRIED))
+  /** Continuously calls random boxes with keys that are declared or were declared until recently. */
+  async #probeKeysContinuously (): Promise<void> {
+    while (this.#isSending) {
+      const version = Math.max(1, this.#fleet.newestVersion - this.#keyRandom.nextInt(PROBED_KEY_VERSIONS))
       const probe = { id: `key-${this.#keyProbes.length}`, version, sentAtMs: performance.now() }
       this.#keyProbes.push(probe)
       await this.#fleet.callWithKeyOf(version, drawOne(this.#keyRandom, this.#fleet.boxes), probe.id)
-      await sleep(PROBE_GAP_MS)
+      await sleep(PROBE_INTERVAL_MS)
     }
   }
 
   async #probe (box: SoakBox, version: number): Promise<void> {
-    const probe = { id: `probe-${this.#probes.length}`, box: box.addresses.front, life: `${box.name}#${box.process.pid}`, version, sentAtMs: performance.now(), endedAtMs: 0, status: 0 }
+    const probe = { id: `probe-${this.#probes.length}`, box: box.addresses.front, incarnation: `${box.name}#${box.process.pid}`, version, sentAtMs: performance.now(), endedAtMs: 0, status: 0 }
     this.#probes.push(probe)
     probe.status = await this.#fleet.probe(box, version, probe.id)
     probe.endedAtMs = performance.now()
   }
 
-  async #trouble (): Promise<void> {
-    const untilMs = performance.now() + TROUBLE_MS
-    const count = KINDS_A_ROUND.least + Math.floor(this.#faultRandom.nextFloat() * (KINDS_A_ROUND.most - KINDS_A_ROUND.least + 1))
+  async #injectFaults (): Promise<void> {
+    const untilMs = performance.now() + FAULT_PHASE_MS
+    const count = FAULT_KINDS_PER_ROUND.least + Math.floor(this.#faultRandom.nextFloat() * (FAULT_KINDS_PER_ROUND.most - FAULT_KINDS_PER_ROUND.least + 1))
     const drawn = this.#faultRandom.sample(Object.values(FaultKind), count)
     const kinds = this.#opts.kinds ?? drawn
     while (performance.now() < untilMs) {
-      this.#faults.begin(kinds)
-      await sleep(this.#faultRandom.nextFloat() * LONGEST_GAP_MS)
+      this.#faults.injectRandom(kinds)
+      await sleep(this.#faultRandom.nextFloat() * MAX_FAULT_GAP_MS)
     }
-    await this.#faults.over()
-    await this.#waitReady()
-    await this.#faults.restoreStore(Math.round(this.#restoreRandom.nextFloat() * LONGEST_AWAY_MS))
+    await this.#faults.waitUntilOver()
+    await this.#waitUntilReady()
+    await this.#faults.restoreStore(Math.round(this.#restoreRandom.nextFloat() * MAX_STORE_OUTAGE_MS))
   }
 
-  async #timed (part: string, work: () => Promise<unknown>): Promise<void> {
+  async #measure (phase: string, work: () => Promise<unknown>): Promise<void> {
     const fromMs = performance.now()
     await work()
-    this.#tookMs[part] = Math.round((this.#tookMs[part] ?? 0) + performance.now() - fromMs)
+    this.#durationsMs[phase] = Math.round((this.#durationsMs[phase] ?? 0) + performance.now() - fromMs)
   }
 
-  async #waitReady (): Promise<void> {
-    const waiting = await this.#fleet.waitReady(READY_LIMIT_MS)
-    if (waiting.length > 0) throw new Error(`not ready after ${READY_LIMIT_MS} ms: ${waiting.map(({ name }) => name).join(', ')}`)
+  async #waitUntilReady (): Promise<void> {
+    const unready = await this.#fleet.waitUntilReady(READY_TIMEOUT_MS)
+    if (unready.length > 0) throw new Error(`not ready after ${READY_TIMEOUT_MS} ms: ${unready.map(({ name }) => name).join(', ')}`)
   }
 
-  /** Planned work only, so that every box is judged. */
-  async #calm (): Promise<void> {
-    await sleep(CONTACT_MS)
+  /** Does planned work only, so that the checks apply to every box. */
+  async #runPlannedWork (): Promise<void> {
+    await sleep(SETTLE_MS)
     await Promise.all([
-      this.#publishSome(),
-      this.#faults.leave(drawOne(this.#random, this.#fleet.places)),
-      this.#stopSome(),
-      this.#limitOne(),
-      this.#refuseAndLeaveUnlisted(),
+      this.#publishRepeatedly(),
+      this.#faults.drainUpstream(drawOne(this.#random, this.#fleet.replicas)),
+      this.#stopRandomBoxes(),
+      this.#limitRandomUpstream(),
+      this.#refuseAndDrainUnlisted(),
     ])
   }
 
-  async #limitOne (): Promise<void> {
-    await this.#fleet.limit(drawOne(this.#limitRandom, this.#fleet.places), drawOne(this.#limitRandom, LIMITS_PER_SECOND), LIMITED_MS)
+  async #limitRandomUpstream (): Promise<void> {
+    await this.#fleet.limit(drawOne(this.#limitRandom, this.#fleet.replicas), drawOne(this.#limitRandom, LIMITS_PER_SECOND), LIMIT_DURATION_MS)
   }
 
-  /** One upstream refuses for a while, another one is draining. */
-  async #refuseAndLeaveUnlisted (): Promise<void> {
-    const staying = this.#fleet.places.filter(({ leaving }) => !leaving)
-    const draining = drawOne(this.#signalRandom, staying)
-    const refusing = drawOne(this.#signalRandom, staying.filter((place) => place !== draining))
-    await Promise.all([this.#faults.leaveUnlisted(draining), this.#fleet.refuse(refusing, BACKOFF_MS, REFUSING_MS)])
+  /** One upstream refuses requests for a while, and another one advertises draining only in its responses. */
+  async #refuseAndDrainUnlisted (): Promise<void> {
+    const active = this.#fleet.replicas.filter(({ leaving }) => !leaving)
+    const drainingReplica = drawOne(this.#signalRandom, active)
+    const refusingReplica = drawOne(this.#signalRandom, active.filter((replica) => replica !== drainingReplica))
+    await Promise.all([this.#faults.drainUnlisted(drainingReplica), this.#fleet.refuse(refusingReplica, REFUSAL_BACKOFF_MS, REFUSAL_DURATION_MS)])
   }
 
-  async #publishSome (): Promise<void> {
-    for (let i = 0; i < PUBLICATIONS; i++) {
+  async #publishRepeatedly (): Promise<void> {
+    for (let i = 0; i < PUBLICATIONS_PER_ROUND; i++) {
       this.#fleet.publish()
-      await sleep(PUBLISH_GAP_MS)
+      await sleep(PUBLISH_INTERVAL_MS)
     }
   }
 
-  async #stopSome (): Promise<void> {
-    for (let stops = 0; stops < PLANNED_STOPS; stops++) {
+  async #stopRandomBoxes (): Promise<void> {
+    for (let stops = 0; stops < PLANNED_STOPS_PER_ROUND; stops++) {
       const box = drawOne(this.#random, this.#fleet.boxes)
-      await this.#waitBusy(box)
+      await this.#waitUntilBusy(box)
       await this.#faults.stopBox(box)
-      await this.#waitReady()
+      await this.#waitUntilReady()
     }
   }
 
   #isBusy ({ addresses }: SoakBox): boolean {
-    const isRunningThere = ({ box, sentAtMs, endedAtMs }: Attempt) => box === addresses.front && endedAtMs === undefined && performance.now() - sentAtMs > BUSY_AFTER_MS
-    return this.#clients.some(({ attempts }) => attempts.slice(-1).some(isRunningThere))
+    const isInFlight = ({ box, sentAtMs, endedAtMs }: Attempt) => box === addresses.front && endedAtMs === undefined && performance.now() - sentAtMs > BUSY_AFTER_MS
+    return this.#clients.some(({ attempts }) => attempts.slice(-1).some(isInFlight))
   }
 
-  /** Resolves while the box answers a request, so that a stop has something to cut. */
-  async #waitBusy (box: SoakBox): Promise<void> {
-    for (let waitedMs = 0; waitedMs < BUSY_LIMIT_MS; waitedMs += BUSY_POLL_MS) {
+  /** Resolves while the box has a request in flight, which a stop could interrupt. */
+  async #waitUntilBusy (box: SoakBox): Promise<void> {
+    for (let waitedMs = 0; waitedMs < BUSY_TIMEOUT_MS; waitedMs += BUSY_POLL_INTERVAL_MS) {
       if (this.#isBusy(box)) return
-      await sleep(BUSY_POLL_MS)
+      await sleep(BUSY_POLL_INTERVAL_MS)
     }
-    this.violations.push(`${box.name} got no request for ${BUSY_LIMIT_MS} ms`)
+    this.violations.push(`${box.name} received no request for ${BUSY_TIMEOUT_MS} ms`)
   }
 
   async #checkRecovery (): Promise<void> {
-    const from = this.#ended.length
-    while (this.#ended.length < from + RECOVERY_ATTEMPTS) await sleep(LONGEST_PAUSE_MS)
-    const stayed = this.#ended.slice(from).filter(({ leftAtMs }) => leftAtMs === undefined)
-    const served = stayed.filter(({ status, error }) => status === 200 && error === undefined).length
-    if (served < RECOVERY_SHARE * stayed.length) this.violations.push(`after the last fault only ${served} of ${stayed.length} attempts were served`)
+    const from = this.#endedAttempts.length
+    while (this.#endedAttempts.length < from + RECOVERY_ATTEMPTS) await sleep(MAX_SEND_PAUSE_MS)
+    const completed = this.#endedAttempts.slice(from).filter(({ abortedAtMs }) => abortedAtMs === undefined)
+    const served = completed.filter(({ status, error }) => status === 200 && error === undefined).length
+    if (served < MIN_RECOVERY_SHARE * completed.length) this.violations.push(`after the last fault only ${served} of ${completed.length} attempts were served`)
   }
 }
--- a/__utils__/soak/src/soakFleet.ts
+++ b/__utils__/soak/src/soakFleet.ts
@@ -7,51 +7,51 @@
 import { type SeededRandom } from '@reelspan/utils.fakes'
 import { type BoxAddresses, enterUpstream, HandleTable, listedInstances, publishRoutes, type ReceivedHead, removeUpstream, requestHeaders, Role, settingsFileText, StandInStore, StandInUpstream, type UpstreamArrival, type UpstreamRun } from '@reelspan/utils.platform-stand-ins'
 import { Agent, request } from 'undici'
-import { REVOKE_MS } from './checkKeys.js'
+import { REVOCATION_BOUND_MS } from './checkKeys.js'
 import { type Departure, type PlannedStop, type Publication } from './checkBounds.js'
-import { type Naming } from './checkLimits.js'
-import { type Draining, type Refusing } from './checkSignals.js'
+import { type LimitPeriod } from './checkLimits.js'
+import { type AdvertisedDraining, type RefusalPeriod } from './checkSignals.js'
 import { FaultProxy } from './faultProxy.js'
-import { HarmKind, HarmLog } from './harmLog.js'
-import { PORT_SHIFT } from './listenBehindProxy.js'
-import { shapeOfId } from './requestShape.js'
-import { type Stall } from './stallWatch.js'
+import { DisruptionKind, DisruptionLog } from './harmLog.js'
+import { PORT_OFFSET } from './listenBehindProxy.js'
+import { parseShape } from './requestShape.js'
+import { type TimeInterval } from './stallWatch.js'
 
 const REELSPAN = fileURLToPath(import.meta.resolve('reelspan').replace('lib/index.js', 'bin/reelspan.js'))
 const LISTEN_BEHIND_PROXY = new URL('./listenBehindProxy.js', import.meta.url).href
 const ZONES = ['hall-a', 'hall-b', 'hall-c']
-/** The account of all callers, and the key that they send. */
+/** The account of all clients, and the key that they send. */
 export const ACCOUNT = 'callers'
-export const CALLERS_KEY = 'key-of-all-callers'
-const ACCOUNT_SETTINGS = ['contracts=tenants', 'bounds.strict_revoke=true', `bounds.revoke_ms=${REVOKE_MS}`]
+export const DEFAULT_KEY = 'key-of-all-callers'
+const ACCOUNT_SETTINGS = ['contracts=tenants', 'bounds.strict_revoke=true', `bounds.revoke_ms=${REVOCATION_BOUND_MS}`]
 const PORTS = { front: 8149, ready: 8141, control: 8144, directory: 8143 }
-const SEEDS = 3
-const START_LIMIT_MS = 30_000
-/** Processes that start at once share the machine's cores. */
-const START_LIMIT_PER_BOX_MS = 500
-const POLL_MS = 50
-const HEARTBEAT_MS = 1000
+const SEED_ADDRESS_COUNT = 3
+const START_TIMEOUT_MS = 30_000
+/** Processes that start at the same time share the machine's cores. */
+const START_TIMEOUT_PER_BOX_MS = 500
+const POLL_INTERVAL_MS = 50
+const HEARTBEAT_INTERVAL_MS = 1000
 const SERVICE_WORK_MS = 20
-const EVENT_PAUSE_MS = 15
-const HANDLE_LIFE_MS = 500
+const EVENT_INTERVAL_MS = 15
+const HANDLE_TTL_MS = 500
 const REFUSED_SHARE = 0.01
 const LOST_ANSWER_SHARE = 0.01
-/** The platform starts a process that has ended by itself again after so long. */
-const RESTART_MS = 200
-/** The platform ends a process that has not stopped by then. */
-const GRACE_MS = 8000
-/** An upstream that leaves goes on for so long at most, for what it runs. */
-const LONGEST_RUN_MS = 7000
+/** The platform restarts a process that has exited by itself after this delay. */
+const RESTART_DELAY_MS = 200
+/** The platform kills a process that has not stopped within this time after SIGTERM. */
+const STOP_GRACE_MS = 8000
+/** Maximum time that a draining upstream keeps running to finish its requests. */
+const MAX_RUN_MS = 7000
 const PROBE_TIMEOUT_MS = 1500
-/** Networks of one process lie this far apart, to keep clear of those of processes with near ids. */
-const NETWORK_STEP = 97
+/** Distance between the subnets of one process, so that they do not collide with those of processes with nearby ids. */
+const SUBNET_STEP = 97
 
-let fleets = 0
-const running = new Set<SoakFleet>()
+let fleetCount = 0
+const runningFleets = new Set<SoakFleet>()
 
-/** Ends the processes of all fleets that run, for a harness that is told to end. */
+/** Stops all running fleets and their processes. Used when the harness itself is terminated. */
 export async function stopFleets (): Promise<void> {
-  await Promise.all([...running].map((fleet) => fleet.stop()))
+  await Promise.all([...runningFleets].map((fleet) => fleet.stop()))
 }
 
 export interface SoakBox {
@@ -59,18 +59,18 @@
   zone: string
   addresses: BoxAddresses
   process: FleetProcess
-  /** Its way to the store. */
-  storePath: FaultProxy
-  /** The way of the other boxes to it. */
-  peerPath: FaultProxy
-  /** Times for which its process stood still, on `performance.now()`. */
-  pauses: Stall[]
-  /** What its earlier processes wrote. */
-  pastOutput: string
+  /** Proxy between the box and the store. */
+  storeProxy: FaultProxy
+  /** Proxy between the other boxes and this one. */
+  peerProxy: FaultProxy
+  /** Intervals in which its process was suspended or got no processor time, on `performance.now()`. */
+  pauses: TimeInterval[]
+  /** Output of its earlier processes. */
+  earlierOutput: string
 }
 
-/** A place for an upstream. Its proxy keeps the address over restarts. */
-export interface UpstreamPlace {
+/** An upstream that is restarted under new instance names. Its proxy keeps the address across restarts. */
+export interface UpstreamReplica {
   name: string
   role: Role
   proxy: FaultProxy
@@ -81,52 +81,52 @@
   sequence: number
 }
 
-/** Boxes as processes, and the platform's store and upstreams as stand-ins behind proxies. */
+/** Runs boxes as processes, and stand-ins for the platform's store and upstreams behind proxies. */
 export class SoakFleet {
   readonly boxes: SoakBox[] = []
-  readonly places: UpstreamPlace[] = []
+  readonly replicas: UpstreamReplica[] = []
   readonly store = new StandInStore()
   readonly handles = new HandleTable()
-  readonly harms = new HarmLog()
+  readonly disruptions = new DisruptionLog()
   readonly departures: Departure[] = []
   readonly publications: Publication[] = []
   readonly stops: PlannedStop[] = []
-  /** Limits that upstreams named. One that is named now has no end yet. */
-  readonly namings: Naming[] = []
-  /** Upstreams that advertise draining, which their entries do not show. */
-  readonly draining: Draining[] = []
-  /** Times in which upstreams refuse everything. One that goes on has no end yet. */
-  readonly refusing: Refusing[] = []
-  /** Times throughout which the store's reads were stale, or those of a copy whose loss was not written again yet. */
-  readonly staleReads: Stall[] = []
-  /** What boxes did that they may not do, whatever happens to them. */
+  /** Rate limits that upstreams have advertised. The end of a current one is infinity. */
+  readonly limitPeriods: LimitPeriod[] = []
+  /** Upstreams that advertise draining in their responses but not in their entries. */
+  readonly draining: AdvertisedDraining[] = []
+  /** Periods in which upstreams refuse all requests. The end of a current one is infinity. */
+  readonly refusals: RefusalPeriod[] = []
+  /** Intervals in which the store served stale reads, or a restored backup whose lost writes had not been repeated yet. */
+  readonly staleReads: TimeInterval[] = []
+  /** Violations that no fault excuses. */
   readonly problems: string[] = []
-  readonly #past: StandInUpstream[] = []
-  readonly #placeOf = new Map<string, string>()
-  /** Processes that were told to end. */
-  readonly #toldToEnd = new WeakSet<FleetProcess>()
+  readonly #stoppedUpstreams: StandInUpstream[] = []
+  readonly #replicaNameByInstance = new Map<string, string>()
+  /** Processes that were sent SIGTERM or killed. */
+  readonly #stopRequested = new WeakSet<FleetProcess>()
   readonly #agent = new Agent()
   readonly #random: SeededRandom
-  readonly #folder: string
+  readonly #settingsFolder: string
   readonly #subnet: string
   readonly #zones: readonly string[]
   #storeAddress = ''
-  #incarnations = 0
-  #heartbeat?: NodeJS.Timeout
-  #stopping = false
+  #incarnationCount = 0
+  #heartbeatTimer?: NodeJS.Timeout
+  #isStopping = false
 
   private constructor (random: SeededRandom, folder: string) {
     this.#random = random
-    this.#folder = folder
-    // Loopback addresses of this run alone, so that runs beside it, in this process or others, do not meet.
-    this.#subnet = `127.${10 + process.pid % 200}.${1 + (Math.floor(process.pid / 200) + NETWORK_STEP * fleets++) % 200}`
-    // In a single zone only some boxes watch the store, and the others hear from them.
+    this.#settingsFolder = folder
+    // Each run has loopback addresses of its own, so that concurrent runs, in this process or others, do not collide.
+    this.#subnet = `127.${10 + process.pid % 200}.${1 + (Math.floor(process.pid / 200) + SUBNET_STEP * fleetCount++) % 200}`
+    // Within one zone only some boxes watch the store; the others receive updates from them.
     this.#zones = random.nextFloat() < 0.5 ? ZONES : ZONES.slice(0, 1)
   }
 
   static async start (random: SeededRandom, boxCount: number): Promise<SoakFleet> {
     const fleet = new SoakFleet(random, await mkdtemp(join(tmpdir(), 'reelspan-soak-')))
-    running.add(fleet)
+    runningFleets.add(fleet)
     try {
       await fleet.#start(boxCount)
       return fleet
@@ -136,7 +136,7 @@
     }
   }
 
-  /** Everything that upstreams ran, those that are gone included. */
+  /** All runs of all upstreams, including those that have exited. */
   get runs (): UpstreamRun[] {
     return this.#upstreams.flatMap(({ runs }) => runs)
   }
@@ -150,50 +150,50 @@
   }
 
   get #upstreams (): StandInUpstream[] {
-    return [...new Set([...this.#past, ...this.places.map(({ upstream }) => upstream)])]
+    return [...new Set([...this.#stoppedUpstreams, ...this.replicas.map(({ upstream }) => upstream)])]
   }
 
-  /** The place of an incarnation, by which harm to its path is noted. */
-  placeNameOf (instance: string): string {
-    return this.#placeOf.get(instance) ?? ''
+  /** Name of the replica that an instance belongs to. Disruptions of its network path are recorded under this name. */
+  replicaNameOf (instance: string): string {
+    return this.#replicaNameByInstance.get(instance) ?? ''
   }
 
-  /** Publishes a configuration whose probe route has a new path. */
+  /** Publishes a new version of the configuration, whose probe route has a path of its own. */
   publish (): void {
     const version = this.newestVersion + 1
-    const path = this.#write(version)
+    const path = this.#publishVersion(version)
     this.publications.push({ version, path, atMs: performance.now() })
   }
 
-  /** Operator and upstreams write again what the store lost when it came back from a copy. */
-  writeAgain (): void {
-    this.#write(this.newestVersion)
-    const listed = this.places.filter((place) => place.listed)
-    const present = new Set(listed.map(({ instance }) => instance))
-    const inCopy = new Set(listedInstances(this.store))
-    const ended = [...inCopy].filter((instance) => !present.has(instance))
-    ended.forEach((instance) => removeUpstream(this.store, instance))
-    listed.filter(({ instance, leaving }) => leaving || !inCopy.has(instance)).forEach((place) => this.announce(place))
+  /** Repeats the writes of the operator and the upstreams that the store lost when it was restored from a backup. */
+  rewriteLostEntries (): void {
+    this.#publishVersion(this.newestVersion)
+    const listedReplicas = this.replicas.filter((replica) => replica.listed)
+    const listedInstanceNames = new Set(listedReplicas.map(({ instance }) => instance))
+    const storedInstanceNames = new Set(listedInstances(this.store))
+    const staleInstanceNames = [...storedInstanceNames].filter((instance) => !listedInstanceNames.has(instance))
+    staleInstanceNames.forEach((instance) => removeUpstream(this.store, instance))
+    listedReplicas.filter(({ instance, leaving }) => leaving || !storedInstanceNames.has(instance)).forEach((replica) => this.writeEntry(replica))
   }
 
-  #write (version: number): string {
-    return publishRoutes(this.store, version, { name: ACCOUNT, keys: [CALLERS_KEY, keyOf(version)] })
+  #publishVersion (version: number): string {
+    return publishRoutes(this.store, version, { name: ACCOUNT, keys: [DEFAULT_KEY, keyOf(version)] })
   }
 
-  /** Heads of everything that upstreams received. */
+  /** Headers of everything that upstreams received. */
   get received (): ReceivedHead[] {
     return this.#upstreams.flatMap(({ received }) => received)
   }
 
-  /** Calls a service with the key of one version. */
+  /** Calls a service with the key that only this version of the configuration declares. */
   async callWithKeyOf (version: number, box: SoakBox, id: string): Promise<void> {
     await this.#get(box, '/fetch/status/x', requestHeaders(id, { key: keyOf(version) }))
   }
 
-  /** The status that a box answers to a call of a version's own route, 0 when there is no answer. */
+  /** Returns the status of a call to the probe route of a version at one box, or 0 without an answer. */
   async probe (box: SoakBox, version: number, id: string): Promise<number> {
     const { path } = this.publications[version - 1]
-    return this.#get(box, `${path}x`, requestHeaders(id, { key: CALLERS_KEY }))
+    return this.#get(box, `${path}x`, requestHeaders(id, { key: DEFAULT_KEY }))
   }
 
   async #get (box: SoakBox, path: string, headers: Record<string, string>): Promise<number> {
@@ -202,119 +202,119 @@
       await response.body.dump()
       return response.statusCode
     } catch {
-      // A box that is down or paused; what it says matters only where it answers.
+      // The box is down or paused. Probes only check boxes that answer.
       return 0
     }
   }
 
-  /** An upstream leaves: it says so, or its entry just goes, and it serves on. */
-  depart (place: UpstreamPlace, { saysSo }: { saysSo: boolean }): void {
-    place.leaving = true
-    place.listed = saysSo
-    if (saysSo) this.announce(place)
-    else removeUpstream(this.store, place.instance)
-    this.departures.push({ instance: place.instance, atMs: performance.now() })
+  /** An upstream starts draining and keeps serving. Its entry is marked as leaving, or removed. */
+  startDraining (replica: UpstreamReplica, { marksEntry }: { marksEntry: boolean }): void {
+    replica.leaving = true
+    replica.listed = marksEntry
+    if (marksEntry) this.writeEntry(replica)
+    else removeUpstream(this.store, replica.instance)
+    this.departures.push({ instance: replica.instance, atMs: performance.now() })
   }
 
-  /** An upstream names a limit in its answers for a while. */
-  async limit ({ instance }: UpstreamPlace, perSecond: number, durationMs: number): Promise<void> {
-    const naming = { instance, perSecond, fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
-    this.namings.push(naming)
+  /** Makes an upstream advertise a rate limit in its responses for a while. */
+  async limit ({ instance }: UpstreamReplica, perSecond: number, durationMs: number): Promise<void> {
+    const limitPeriod = { instance, perSecond, fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
+    this.limitPeriods.push(limitPeriod)
     await sleep(durationMs)
-    naming.toMs = performance.now()
+    limitPeriod.toMs = performance.now()
   }
 
-  /** An upstream says in its responses alone that it is draining. */
-  advertiseDraining ({ instance }: UpstreamPlace): void {
+  /** Makes an upstream advertise draining in its responses, but not in its entry. */
+  advertiseDraining ({ instance }: UpstreamReplica): void {
     this.draining.push({ instance, fromMs: performance.now() })
   }
 
-  /** An upstream refuses everything for a while, and asks each box that it refuses to wait. */
-  async refuse ({ instance }: UpstreamPlace, waitMs: number, durationMs: number): Promise<void> {
-    const refusing = { instance, waitMs, fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
-    this.refusing.push(refusing)
+  /** Makes an upstream refuse all requests for a while, with a `Retry-After` header. */
+  async refuse ({ instance }: UpstreamReplica, waitMs: number, durationMs: number): Promise<void> {
+    const refusal = { instance, waitMs, fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
+    this.refusals.push(refusal)
     await sleep(durationMs)
-    refusing.toMs = performance.now()
+    refusal.toMs = performance.now()
   }
 
   #headersOf (instance: string): Record<string, string> {
-    const isNow = (one: Naming | Refusing) => one.instance === instance && one.toMs === Number.POSITIVE_INFINITY
-    const naming = this.namings.find(isNow)
-    const refusing = this.refusing.find(isNow)
+    const isCurrent = (period: LimitPeriod | RefusalPeriod) => period.instance === instance && period.toMs === Number.POSITIVE_INFINITY
+    const limitPeriod = this.limitPeriods.find(isCurrent)
+    const refusal = this.refusals.find(isCurrent)
     return {
-      ...naming ? { 'Server-Limit': naming.perSecond.toString() } : {},
-      ...refusing ? { 'Retry-After': (refusing.waitMs / 1000).toString() } : {},
+      ...limitPeriod ? { 'Server-Limit': limitPeriod.perSecond.toString() } : {},
+      ...refusal ? { 'Retry-After': (refusal.waitMs / 1000).toString() } : {},
       ...this.draining.some((one) => one.instance === instance) ? { 'Server-Leaving': '1' } : {},
     }
   }
 
-  /** Resolves when an upstream runs nothing, or has been given long enough for it. */
-  async waitIdle ({ upstream }: UpstreamPlace): Promise<void> {
-    const untilMs = performance.now() + LONGEST_RUN_MS
-    while (performance.now() < untilMs && upstream.runs.some(({ endedAtMs }) => endedAtMs === undefined)) await sleep(POLL_MS)
+  /** Resolves when an upstream has no running requests, or after a timeout. */
+  async waitUntilIdle ({ upstream }: UpstreamReplica): Promise<void> {
+    const untilMs = performance.now() + MAX_RUN_MS
+    while (performance.now() < untilMs && upstream.runs.some(({ endedAtMs }) => endedAtMs === undefined)) await sleep(POLL_INTERVAL_MS)
   }
 
-  /** Ends an upstream at once; its entry goes later. */
-  async crash (place: UpstreamPlace): Promise<void> {
-    place.listed = false
-    place.upstream.stop()
-    this.#past.push(place.upstream)
+  /** Stops an upstream at once, without draining. Its entry is removed when it is restarted. */
+  async stopUpstream (replica: UpstreamReplica): Promise<void> {
+    replica.listed = false
+    replica.upstream.stop()
+    this.#stoppedUpstreams.push(replica.upstream)
   }
 
-  /** Starts a new incarnation in a place. */
-  async revive (place: UpstreamPlace): Promise<void> {
-    removeUpstream(this.store, place.instance)
-    place.instance = this.#nameInstance(place.name)
-    place.upstream = await this.#startUpstream(place.role, place.instance)
-    place.listed = true
-    place.leaving = false
-    this.announce(place)
+  /** Starts a new instance of an upstream at the same address. */
+  async restartUpstream (replica: UpstreamReplica): Promise<void> {
+    removeUpstream(this.store, replica.instance)
+    replica.instance = this.#createInstanceName(replica.name)
+    replica.upstream = await this.#startUpstream(replica.role, replica.instance)
+    replica.listed = true
+    replica.leaving = false
+    this.writeEntry(replica)
   }
 
-  announce (place: UpstreamPlace): void {
-    enterUpstream(this.store, { ...place, address: place.proxy.address })
+  writeEntry (replica: UpstreamReplica): void {
+    enterUpstream(this.store, { ...replica, address: replica.proxy.address })
   }
 
   /** Starts a box that is not running. */
   startBox (box: SoakBox): void {
     if (box.process?.running) return
-    if (box.process) box.pastOutput += box.process.output
-    const started = new FleetProcess(box.name, REELSPAN, ['serve', '--platform'], {
+    if (box.process) box.earlierOutput += box.process.output
+    const boxProcess = new FleetProcess(box.name, REELSPAN, ['serve', '--platform'], {
       REELSPAN_BOOT: this.#settingsPath(box.name),
       NODE_OPTIONS: `${process.env.NODE_OPTIONS ?? ''} --import=${LISTEN_BEHIND_PROXY}`,
       SOAK_PROXIED_PORT: String(PORTS.control),
     })
-    box.process = started
-    void started.waitExit().then((code) => this.#exited(box, started, code))
+    box.process = boxProcess
+    void boxProcess.waitExit().then((code) => this.#onExited(box, boxProcess, code))
   }
 
   async killBox ({ process }: SoakBox): Promise<void> {
-    this.#toldToEnd.add(process)
+    this.#stopRequested.add(process)
     await process.kill()
   }
 
-  /** A planned stop as the platform does it: what has not ended within the grace is killed. */
-  async stopBox (box: SoakBox, onLate: () => void): Promise<void> {
+  /** Stops a box as the platform does: sends SIGTERM, and kills the process after the grace period. Then starts it again. */
+  async stopBox (box: SoakBox, onGraceExceeded: () => void): Promise<void> {
     const { process, addresses } = box
-    // The platform asks once. A box takes a second SIGTERM as an order to end at once.
-    if (this.#toldToEnd.has(process)) return
-    this.#toldToEnd.add(process)
+    // The platform sends SIGTERM once. A box exits at once on a second SIGTERM.
+    if (this.#stopRequested.has(process)) return
+    this.#stopRequested.add(process)
     this.stops.push({ box: addresses.front, atMs: performance.now() })
-    const over = this.harms.begin(addresses.front, HarmKind.Planned)
+    const endDisruption = this.disruptions.begin(addresses.front, DisruptionKind.Planned)
     process.signal('SIGTERM')
-    const late = sleep(GRACE_MS, 'late', { ref: false })
-    if (await Promise.race([process.waitExit(), late]) === 'late') {
-      onLate()
+    const graceExceeded = sleep(STOP_GRACE_MS, 'late', { ref: false })
+    if (await Promise.race([process.waitExit(), graceExceeded]) === 'late') {
+      onGraceExceeded()
       await process.kill()
     }
     this.startBox(box)
-    over()
+    endDisruption()
   }
 
-  /** Writes the settings again, with other seeds. */
+  /** Rewrites the settings file with other seed addresses. */
   async changeSettings (box: SoakBox): Promise<void> {
-    const seeds = this.#random.sample(this.boxes, SEEDS).map(({ addresses }) => addresses.control)
-    await writeFile(this.#settingsPath(box.name), settingsFileText({ ...box, seeds, store: box.storePath.address }, ACCOUNT_SETTINGS))
+    const seeds = this.#random.sample(this.boxes, SEED_ADDRESS_COUNT).map(({ addresses }) => addresses.control)
+    await writeFile(this.#settingsPath(box.name), settingsFileText({ ...box, seeds, store: box.storeProxy.address }, ACCOUNT_SETTINGS))
   }
 
   async isReady ({ addresses }: SoakBox): Promise<boolean> {
@@ -323,35 +323,35 @@
     return response?.statusCode === 200
   }
 
-  /** Resolves once every box is ready, or with those that are not by then. */
-  async waitReady (limitMs: number): Promise<SoakBox[]> {
-    const untilMs = performance.now() + limitMs
-    let waiting = [...this.boxes]
-    while (waiting.length > 0 && performance.now() < untilMs) {
-      const ready = await Promise.all(waiting.map((box) => this.isReady(box)))
-      waiting = waiting.filter((_, i) => !ready[i])
-      await sleep(POLL_MS)
+  /** Resolves once every box is ready, or after the timeout, with the boxes that are not ready. */
+  async waitUntilReady (timeoutMs: number): Promise<SoakBox[]> {
+    const untilMs = performance.now() + timeoutMs
+    let unready = [...this.boxes]
+    while (unready.length > 0 && performance.now() < untilMs) {
+      const ready = await Promise.all(unready.map((box) => this.isReady(box)))
+      unready = unready.filter((_, i) => !ready[i])
+      await sleep(POLL_INTERVAL_MS)
     }
-    return waiting
+    return unready
   }
 
-  /** Ends the processes that this fleet started, and no others. */
+  /** Stops the processes that this fleet has started, and no others. */
   async stop (): Promise<void> {
-    this.#stopping = true
-    running.delete(this)
-    clearInterval(this.#heartbeat)
+    this.#isStopping = true
+    runningFleets.delete(this)
+    clearInterval(this.#heartbeatTimer)
     await Promise.all(this.boxes.map((box) => box.process?.running ? this.killBox(box) : undefined))
-    this.places.forEach(({ proxy, upstream }) => {
+    this.replicas.forEach(({ proxy, upstream }) => {
       proxy.stop()
       upstream.stop()
     })
-    this.boxes.forEach(({ storePath, peerPath }) => {
-      storePath.stop()
-      peerPath.stop()
+    this.boxes.forEach(({ storeProxy, peerProxy }) => {
+      storeProxy.stop()
+      peerProxy.stop()
     })
     this.store.stop()
     await this.#agent.destroy()
-    await rm(this.#folder, { recursive: true, force: true })
+    await rm(this.#settingsFolder, { recursive: true, force: true })
   }
 
   async #start (boxCount: number): Promise<void> {
@@ -359,85 +359,85 @@
     this.store.itemsPerPage = 100
     this.store.era = 0
     const roles = [Role.Prefill, Role.Prefill, Role.Decode, Role.Decode, Role.Decode, Role.Service, Role.Service, Role.Service]
-    await Promise.all(roles.map((role, i) => this.#addPlace(role, `${role}-${i}`)))
+    await Promise.all(roles.map((role, i) => this.#addReplica(role, `${role}-${i}`)))
     this.publish()
-    this.#heartbeat = setInterval(() => this.#beat(), HEARTBEAT_MS)
-    for (let i = 0; i < boxCount; i++) this.boxes.push(await this.#describeBox(i))
+    this.#heartbeatTimer = setInterval(() => this.#sendHeartbeats(), HEARTBEAT_INTERVAL_MS)
+    for (let i = 0; i < boxCount; i++) this.boxes.push(await this.#createBox(i))
     await Promise.all(this.boxes.map(async (box) => {
       await this.changeSettings(box)
       this.startBox(box)
     }))
-    const waiting = await this.waitReady(START_LIMIT_MS + boxCount * START_LIMIT_PER_BOX_MS)
-    if (waiting.length > 0) throw new Error(`did not start: ${waiting.map(({ name, process }) => `${name}: ${process.output.slice(-500)}`).join('\n')}`)
+    const unready = await this.waitUntilReady(START_TIMEOUT_MS + boxCount * START_TIMEOUT_PER_BOX_MS)
+    if (unready.length > 0) throw new Error(`did not start: ${unready.map(({ name, process }) => `${name}: ${process.output.slice(-500)}`).join('\n')}`)
   }
 
-  async #describeBox (i: number): Promise<SoakBox> {
+  async #createBox (i: number): Promise<SoakBox> {
     const host = `${this.#subnet}.${i + 1}`
     const addresses = { front: `${host}:${PORTS.front}`, ready: `${host}:${PORTS.ready}`, control: `${host}:${PORTS.control}`, directory: `${host}:${PORTS.directory}` }
-    const storePath = new FaultProxy(() => this.#storeAddress)
-    const peerPath = new FaultProxy(() => `${host}:${PORTS.control + PORT_SHIFT}`)
-    await storePath.start()
-    await peerPath.start(addresses.control)
-    return { name: `box-${i + 1}`, zone: this.#zones[i % this.#zones.length], addresses, process: undefined as unknown as FleetProcess, storePath, peerPath, pauses: [], pastOutput: '' }
-  }
-
-  /** The platform starts a process again that ended by itself. One that ends with a code of its own is a fault. */
-  #exited (box: SoakBox, ended: FleetProcess, code: number | null): void {
-    if (this.#stopping || this.#toldToEnd.has(ended)) return
-    // A SIGHUP ends a process that has not come to listen for it yet.
-    if (code !== null) this.problems.push(`${box.name} ended by itself with code ${code}: ${ended.output.slice(-500)}`)
-    const over = this.harms.begin(box.addresses.front)
+    const storeProxy = new FaultProxy(() => this.#storeAddress)
+    const peerProxy = new FaultProxy(() => `${host}:${PORTS.control + PORT_OFFSET}`)
+    await storeProxy.start()
+    await peerProxy.start(addresses.control)
+    return { name: `box-${i + 1}`, zone: this.#zones[i % this.#zones.length], addresses, process: undefined as unknown as FleetProcess, storeProxy, peerProxy, pauses: [], earlierOutput: '' }
+  }
+
+  /** Restarts a process that has exited by itself, as the platform does. An exit with a code, not by a signal, is a violation. */
+  #onExited (box: SoakBox, process: FleetProcess, code: number | null): void {
+    if (this.#isStopping || this.#stopRequested.has(process)) return
+    // A process that has not installed its SIGHUP handler yet is killed by SIGHUP, which is allowed.
+    if (code !== null) this.problems.push(`${box.name} exited by itself with code ${code}: ${process.output.slice(-500)}`)
+    const endDisruption = this.disruptions.begin(box.addresses.front)
     setTimeout(() => {
-      if (!this.#stopping) this.startBox(box)
-      over()
-    }, RESTART_MS)
+      if (!this.#isStopping) this.startBox(box)
+      endDisruption()
+    }, RESTART_DELAY_MS)
   }
 
-  async #addPlace (role: Role, name: string): Promise<void> {
-    const instance = this.#nameInstance(name)
-    const place: UpstreamPlace = { name, role, proxy: new FaultProxy(() => place.upstream.address), upstream: await this.#startUpstream(role, instance), instance, listed: true, leaving: false, sequence: 0 }
-    await place.proxy.start()
-    this.places.push(place)
-    this.announce(place)
+  async #addReplica (role: Role, name: string): Promise<void> {
+    const instance = this.#createInstanceName(name)
+    const replica: UpstreamReplica = { name, role, proxy: new FaultProxy(() => replica.upstream.address), upstream: await this.#startUpstream(role, instance), instance, listed: true, leaving: false, sequence: 0 }
+    await replica.proxy.start()
+    this.replicas.push(replica)
+    this.writeEntry(replica)
   }
 
-  #nameInstance (placeName: string): string {
-    const instance = `i-${placeName}-${this.#incarnations++}`
-    this.#placeOf.set(instance, placeName)
+  #createInstanceName (replicaName: string): string {
+    const instance = `i-${replicaName}-${this.#incarnationCount++}`
+    this.#replicaNameByInstance.set(instance, replicaName)
     return instance
   }
 
   async #startUpstream (role: Role, instance: string): Promise<StandInUpstream> {
-    const draws = (share: number) => () => this.#random.nextFloat() < share
-    const refusesByChance = draws(REFUSED_SHARE)
+    const withProbability = (share: number) => () => this.#random.nextFloat() < share
+    const refusesRandomly = withProbability(REFUSED_SHARE)
     const upstream = new StandInUpstream(role, {
       instance,
-      workMs: role === Role.Service ? SERVICE_WORK_MS : EVENT_PAUSE_MS,
-      shapeOf: shapeOfId,
+      workMs: role === Role.Service ? SERVICE_WORK_MS : EVENT_INTERVAL_MS,
+      shapeOf: parseShape,
       handles: this.handles,
-      handleLifeMs: HANDLE_LIFE_MS,
-      refuses: () => refusesByChance() || this.refusing.some((one) => one.instance === instance && one.toMs === Number.POSITIVE_INFINITY),
-      losesAnswer: draws(LOST_ANSWER_SHARE),
+      handleLifeMs: HANDLE_TTL_MS,
+      refuses: () => refusesRandomly() || this.refusals.some((refusal) => refusal.instance === instance && refusal.toMs === Number.POSITIVE_INFINITY),
+      losesAnswer: withProbability(LOST_ANSWER_SHARE),
       advertises: () => this.#headersOf(instance),
     })
     await upstream.start()
     return upstream
   }
 
-  /** Upstreams show that they live. */
-  #beat (): void {
-    this.places.filter(({ listed }) => listed).forEach((place) => {
-      place.sequence++
-      this.announce(place)
+  /** Rewrites the entries of all listed upstreams with the next sequence number, as a heartbeat. */
+  #sendHeartbeats (): void {
+    this.replicas.filter(({ listed }) => listed).forEach((replica) => {
+      replica.sequence++
+      this.writeEntry(replica)
     })
   }
 
   #settingsPath (boxName: string): string {
-    return join(this.#folder, `${boxName}.conf`)
+    return join(this.#settingsFolder, `${boxName}.conf`)
   }
 }
 
-/** The key that is declared in one version alone. */
+/** Returns the key that only this version of the configuration declares. */
 export function keyOf (version: number): string {
   return `key-of-version-${version}`
 }
--- a/__utils__/soak/src/stallWatch.ts
+++ b/__utils__/soak/src/stallWatch.ts
@@ -1,72 +1,72 @@
 import { readFileSync } from 'node:fs'
 import { type SoakBox } from './soakFleet.js'
 
-/** A time for which something stood still, on `performance.now()`. */
-export interface Stall {
+/** A time interval on `performance.now()`. */
+export interface TimeInterval {
   fromMs: number
   toMs: number
 }
 
-const TICK_MS = 50
-/** A timer that is later than this, or a process that waited for a processor for this long of it, means that the machine had no time to give. */
-const STALL_MS = 150
+const POLL_INTERVAL_MS = 50
+/** The machine is overloaded when more than this passes between two polls, or when a process waits longer than this for a processor between them. */
+const STALL_THRESHOLD_MS = 150
 const NS_PER_MS = 1e6
 
 /**
- * Notes when the machine gave this process, or a box, no processor time, though
- * they were ready to run: bounds in time say nothing over such a moment. For
- * boxes the kernel's own account is read, from outside of the process.
+ * Detects when this process or a box got no processor time although it was ready
+ * to run. Time bounds are not checked over such intervals. For boxes it reads the
+ * kernel's scheduler statistics, from outside of the process.
  */
-export class StallWatch {
+export class StallDetector {
   /** Stalls of this process. */
-  readonly stalls: Stall[] = []
+  readonly stalls: TimeInterval[] = []
   readonly #boxes: readonly SoakBox[]
   readonly #timer: NodeJS.Timeout
-  readonly #waitedMs = new Map<number, number>()
+  readonly #runQueueWaitsMs = new Map<number, number>()
   #lastMs = performance.now()
 
   constructor (boxes: readonly SoakBox[]) {
     this.#boxes = boxes
-    this.#timer = setInterval(() => this.#tick(), TICK_MS)
+    this.#timer = setInterval(() => this.#poll(), POLL_INTERVAL_MS)
   }
 
   stop (): void {
     clearInterval(this.#timer)
   }
 
-  #tick (): void {
+  #poll (): void {
     const nowMs = performance.now()
-    const stall = { fromMs: this.#lastMs, toMs: nowMs }
-    if (nowMs - this.#lastMs > STALL_MS) this.stalls.push(stall)
+    const interval = { fromMs: this.#lastMs, toMs: nowMs }
+    if (nowMs - this.#lastMs > STALL_THRESHOLD_MS) this.stalls.push(interval)
     this.#lastMs = nowMs
     this.#boxes.forEach((box) => {
-      const waitedMs = this.#waitedSince(box)
-      if (waitedMs > STALL_MS) box.pauses.push({ fromMs: stall.fromMs - waitedMs, toMs: nowMs })
+      const waitMs = this.#readNewRunQueueWaitMs(box)
+      if (waitMs > STALL_THRESHOLD_MS) box.pauses.push({ fromMs: interval.fromMs - waitMs, toMs: nowMs })
     })
   }
 
-  /** Time that a box's main thread has waited for a processor since the last look. The kernel adds a wait up when it ends. */
-  #waitedSince ({ process: { pid, running } }: SoakBox): number {
-    const waitedMs = running ? readWaitedMs(pid) : undefined
-    if (waitedMs === undefined) return 0
-    const sinceMs = waitedMs - (this.#waitedMs.get(pid) ?? waitedMs)
-    this.#waitedMs.set(pid, waitedMs)
-    return sinceMs
+  /** Returns how long a box's main thread has waited for a processor since the last poll. The kernel counts a wait when it ends. */
+  #readNewRunQueueWaitMs ({ process: { pid, running } }: SoakBox): number {
+    const totalWaitMs = running ? readRunQueueWaitMs(pid) : undefined
+    if (totalWaitMs === undefined) return 0
+    const newWaitMs = totalWaitMs - (this.#runQueueWaitsMs.get(pid) ?? totalWaitMs)
+    this.#runQueueWaitsMs.set(pid, totalWaitMs)
+    return newWaitMs
   }
 }
 
-/** Whether one of the stalls lies within a time, in part or whole. */
-export function overlaps (stalls: readonly Stall[], fromMs: number, toMs: number): boolean {
-  return stalls.some((stall) => stall.fromMs < toMs && stall.toMs > fromMs)
+/** Whether one of the intervals overlaps a time span, at least in part. */
+export function overlaps (intervals: readonly TimeInterval[], fromMs: number, toMs: number): boolean {
+  return intervals.some((interval) => interval.fromMs < toMs && interval.toMs > fromMs)
 }
 
-/** Nothing for a process that has just ended. */
-function readWaitedMs (pid: number): number | undefined {
+/** Returns undefined for a process that has just exited. */
+function readRunQueueWaitMs (pid: number): number | undefined {
   try {
-    const [, waitedNs] = readFileSync(`/proc/${pid}/schedstat`, 'utf8').split(' ')
-    return Number(waitedNs) / NS_PER_MS
+    const [, waitNs] = readFileSync(`/proc/${pid}/schedstat`, 'utf8').split(' ')
+    return Number(waitNs) / NS_PER_MS
   } catch {
-    // It ended between the look and the read; its attempts end with it.
+    // The process exited before the read; its attempts end with it.
     return undefined
   }
 }
--- a/__utils__/soak/test/faultProxy.ts
+++ b/__utils__/soak/test/faultProxy.ts
@@ -3,7 +3,7 @@
 import { FaultProxy, PathFault, Silence } from '@reelspan/utils.soak'
 import test, { type ExecutionContext } from 'ava'
 
-/** A server that sends back what it gets, behind a proxy, and a connection to it. */
+/** Starts an echo server behind a proxy, and opens a connection to it. */
 async function startEcho (t: ExecutionContext) {
   const server = createServer((socket) => {
     socket.on('error', () => {})
@@ -35,8 +35,8 @@
   return process.getActiveResourcesInfo().filter((kind) => kind === 'TCPSocketWrap').length
 }
 
-/** Resolves when a connection is closed, by an error or not. */
-function closeOf (socket: Socket): Promise<void> {
+/** Resolves when a connection has closed, with or without an error. */
+function waitUntilClosed (socket: Socket): Promise<void> {
   socket.on('error', () => {})
   return new Promise((resolve) => socket.on('close', () => resolve()))
 }
@@ -47,12 +47,12 @@
   return bytes.toString()
 }
 
-test.serial('bytes pass while there is no fault', async (t) => {
+test.serial('forwards bytes while there is no fault', async (t) => {
   const { client } = await startEcho(t)
   t.is(await answerTo(client, 'one'), 'one')
 })
 
-test.serial('what a silent path holds back comes when it is over, in order', async (t) => {
+test.serial('delivers bytes that a silent path held back in order after the fault', async (t) => {
   const { proxy, client } = await startEcho(t)
   proxy.fault = PathFault.Silent
   client.write('one ')
@@ -62,27 +62,27 @@
   t.regex(String((await answer)[0]), /^one/)
 })
 
-test.serial('a reset path resets connections, old and new', async (t) => {
+test.serial('a reset path resets open and new connections', async (t) => {
   const { proxy, client } = await startEcho(t)
-  const closed = closeOf(client)
+  const closed = waitUntilClosed(client)
   proxy.fault = PathFault.Reset
   await closed
   const next = connectTo(proxy)
-  await closeOf(next)
+  await waitUntilClosed(next)
   t.true(next.destroyed)
 })
 
-test.serial('a proxy that stops leaves no socket behind, also of a connection that is just being ended', async (t) => {
+test.serial('a stopped proxy leaves no open socket, including that of a connection that is being closed', async (t) => {
   const before = openSockets()
   const { proxy, client } = await startEcho(t)
   proxy.fault = PathFault.Silent
   client.end()
   await once(client, 'finish')
-  // The end has come through loopback by then, and waits in the proxy.
+  // By then the end of the stream has reached the proxy over loopback and is held back there.
   for (let turn = 0; turn < 100; turn++) await nextTurn()
   proxy.fault = PathFault.None
   proxy.stop()
-  await closeOf(client)
+  await waitUntilClosed(client)
   while (openSockets() > before) await nextTurn()
   t.true(openSockets() <= before)
 })
@@ -92,10 +92,10 @@
   proxy.fault = PathFault.Slow
   const fromMs = performance.now()
   t.is(await answerTo(client, 'one'), 'one')
-  t.true(performance.now() - fromMs >= 290, 'on both ways')
+  t.true(performance.now() - fromMs >= 290, 'delays both directions')
 })
 
-test.serial('a path that is cut towards the server keeps requests back, and answers no longer than that', async (t) => {
+test.serial('a path that blocks requests holds them back, and answers arrive once the fault is over', async (t) => {
   const { proxy, client } = await startEcho(t)
   proxy.fault = PathFault.NoRequests
   const answer = answerTo(client, 'one')
@@ -104,36 +104,36 @@
   t.is(await answer, 'one')
 })
 
-for (const silence of Object.values(Silence)) {
-  test.serial(`an open connection that is silent ${silence} stays so, without an end, while a new one works`, async (t) => {
+for (const direction of Object.values(Silence)) {
+  test.serial(`an open connection that is blackholed (${direction}) delivers nothing and stays open, while a new one works, also after the blackholed one is closed`, async (t) => {
     const { proxy, client } = await startEcho(t)
     t.is(await answerTo(client, 'one'), 'one')
-    let heard = false
-    client.on('data', () => { heard = true })
-    t.is(proxy.silenceOpen(silence), 1)
+    let hasReceived = false
+    client.on('data', () => { hasReceived = true })
+    t.is(proxy.silenceOpen(direction), 1)
     client.write('two')
     const next = connectTo(proxy)
     t.teardown(() => next.destroy())
     t.is(await answerTo(next, 'three'), 'three')
-    t.false(heard)
+    t.false(hasReceived)
     t.false(client.destroyed)
     client.destroy()
-    t.is(await answerTo(next, 'four'), 'four', 'the end of a silent connection harms no other')
+    t.is(await answerTo(next, 'four'), 'four', 'the end of a blackholed connection does not affect other connections')
   })
 }
 
-for (const way of Object.values(Silence)) {
-  test.serial(`a connection that is silenced (${way}) stays so without an end, and a new one works`, async (t) => {
+for (const direction of Object.values(Silence)) {
+  test.serial(`a connection that is blackholed (${direction}) stays open and delivers nothing, and a new one works`, async (t) => {
     const { proxy, client } = await startEcho(t)
     t.is(await answerTo(client, 'one'), 'one')
-    proxy.silenceOpen(way)
-    let heard = 0
-    client.on('data', () => { heard++ })
+    proxy.silenceOpen(direction)
+    let receivedCount = 0
+    client.on('data', () => { receivedCount++ })
     client.write('two')
     const next = connectTo(proxy)
     t.teardown(() => next.destroy())
     t.is(await answerTo(next, 'three'), 'three')
-    t.is(heard, 0)
+    t.is(receivedCount, 0)
     t.false(client.destroyed)
   })
 }
--- a/__utils__/soak/test/soak.ts
+++ b/__utils__/soak/test/soak.ts
@@ -1,29 +1,29 @@
-import { keepLogs, type KnownSeed, knownSeeds, soak } from '@reelspan/utils.soak'
+import { saveLogs, type KnownSeed, readKnownSeeds, soak } from '@reelspan/utils.soak'
 import test, { type ExecutionContext } from 'ava'
 
-/** Seeds of every day, beside those that failed once. */
-const USUAL_SEEDS: KnownSeed[] = [{ seed: 7 }]
-const SIZE = { boxes: 3, clients: 6, rounds: 1 }
-const LIMIT_MS = 180_000
-/** Runs that share the machine, so that all seeds take a minute or two. */
-const RUNS_AT_ONCE = 3
+/** Seeds that always run, besides those that once failed. */
+const DEFAULT_SEEDS: KnownSeed[] = [{ seed: 7 }]
+const FLEET_SIZE = { boxes: 3, clients: 6, rounds: 1 }
+const TIMEOUT_MS = 180_000
+/** Number of runs that share the machine, so that all seeds take a minute or two. */
+const CONCURRENT_RUNS = 3
 
-const seeds = [...USUAL_SEEDS, ...await knownSeeds()]
-const groups = Array.from({ length: Math.ceil(seeds.length / RUNS_AT_ONCE) }, (_, i) => seeds.slice(i * RUNS_AT_ONCE, (i + 1) * RUNS_AT_ONCE))
+const seeds = [...DEFAULT_SEEDS, ...await readKnownSeeds()]
+const groups = Array.from({ length: Math.ceil(seeds.length / CONCURRENT_RUNS) }, (_, i) => seeds.slice(i * CONCURRENT_RUNS, (i + 1) * CONCURRENT_RUNS))
 
 groups.forEach((group) => {
-  test.serial(`real boxes keep their promises under faults of seed ${group.map(({ seed }) => seed).join(', and of seed ')}`, async (t) => {
-    t.timeout(LIMIT_MS)
-    const found = await Promise.all(group.map((known) => playSeed(t, known)))
-    t.deepEqual(found.flat(), [])
+  test.serial(`real boxes keep all guarantees under the faults of seed ${group.map(({ seed }) => seed).join(', and of seed ')}`, async (t) => {
+    t.timeout(TIMEOUT_MS)
+    const violations = await Promise.all(group.map((knownSeed) => runSeed(t, knownSeed)))
+    t.deepEqual(violations.flat(), [])
   })
 })
 
-async function playSeed (t: ExecutionContext, { seed, kinds }: KnownSeed): Promise<string[]> {
-  const result = await soak({ seed, kinds, ...SIZE })
-  const { attempts, faults, violations, judged } = result
-  t.log(`seed ${seed}: ${attempts} attempts, judged ${JSON.stringify(judged)}, faults: ${faults.join('; ')}`)
-  if (violations.length > 0) t.log(`logs of the boxes: ${await keepLogs(seed, result)}`)
+async function runSeed (t: ExecutionContext, { seed, kinds }: KnownSeed): Promise<string[]> {
+  const result = await soak({ seed, kinds, ...FLEET_SIZE })
+  const { attempts, faults, violations, checkCounts } = result
+  t.log(`seed ${seed}: ${attempts} attempts, checked ${JSON.stringify(checkCounts)}, faults: ${faults.join('; ')}`)
+  if (violations.length > 0) t.log(`logs of the boxes: ${await saveLogs(seed, result)}`)
   t.true(attempts > 100, `seed ${seed}`)
   return violations.map((violation) => `seed ${seed}: ${violation}`)
 }
