--- a/__utils__/bench/src/fleetProcess.ts
+++ b/__utils__/bench/src/fleetProcess.ts
@@ -57,7 +57,7 @@
   }
 
   /** Resolves with the exit code, or null if a signal ended the process. */
-  async waitExit (): Promise<number | null> {
+  async waitForExit (): Promise<number | null> {
     if (this.running) await once(this.#child, 'exit')
     return this.#child.exitCode
   }
@@ -65,6 +65,6 @@
   async kill (): Promise<void> {
     this.signal('SIGCONT')
     this.signal('SIGKILL')
-    await this.waitExit()
+    await this.waitForExit()
   }
 }
--- a/__utils__/bench/src/measureHolds.ts
+++ b/__utils__/bench/src/measureHolds.ts
@@ -32,7 +32,7 @@
     },
   },
   { name: 'owner killed, no replacement', trigger: (fleet, { owner }) => fleet.kill(owner) },
-  { name: 'owner is cut off from the network', trigger: (fleet, { owner }) => fleet.cutOff(owner) },
+  { name: 'owner is cut off from the network', trigger: (fleet, { owner }) => fleet.isolate(owner) },
   {
     name: 'caller disconnected while the owner is paused for 5 s',
     trigger: (fleet, { owner, callerAbort }) => {
@@ -52,7 +52,7 @@
   {
     name: 'cancel during a partition between owner and engine',
     trigger: (fleet, { owner, key, engine }) => {
-      fleet.network.cutBoth(fleet.address(owner), fleet.address(engine))
+      fleet.network.blockBoth(fleet.address(owner), fleet.address(engine))
       void fleet.box(owner).box.cancel(key)
     },
   },
--- a/__utils__/bench/src/measureRecords.ts
+++ b/__utils__/bench/src/measureRecords.ts
@@ -16,7 +16,7 @@
 
 /** Measures a record store filled with finished answers of the given length. Requires `--expose-gc`. */
 export function measureRecords (tokens: number): RecordCost {
-  const store = new RecordStore({ clock: new SystemClock(), maxBytes: Number.MAX_SAFE_INTEGER, recordLifeMs: 600_000 })
+  const store = new RecordStore({ clock: new SystemClock(), maxBytes: Number.MAX_SAFE_INTEGER, recordTtlMs: 600_000 })
   globalThis.gc?.()
   const heapBefore = process.memoryUsage().heapUsed
   const cpuBefore = process.cpuUsage()
--- a/__utils__/bench/src/measureScheduler.ts
+++ b/__utils__/bench/src/measureScheduler.ts
@@ -5,7 +5,7 @@
 import { createPrefixIndex, PrefixIndexKind } from '@reelspan/scheduling.prefix-index'
 import { ShardScheduler } from '@reelspan/scheduling.scheduler'
 import { type Shard } from '@reelspan/scheduling.shards'
-import { SeededRandom, tuulDeclarations, VirtualClock } from '@reelspan/utils.fakes'
+import { SeededRandom, sampleDeclarations, VirtualClock } from '@reelspan/utils.fakes'
 import { type EngineReport, EngineRole } from '@reelspan/upstream.client'
 
 /** Cost of a reservation at a scheduler. */
@@ -26,10 +26,10 @@
 export async function measureScheduler (enginesPerPool: number): Promise<SchedulerCost> {
   const clock = new VirtualClock()
   const random = new SeededRandom(1)
-  const scheduler = new ShardScheduler({ clock, shard: createShard(enginesPerPool), route: () => undefined, index: createPrefixIndex(PrefixIndexKind.Events), reportLifeMs: Number.POSITIVE_INFINITY })
+  const scheduler = new ShardScheduler({ clock, shard: createShard(enginesPerPool), route: () => undefined, index: createPrefixIndex(PrefixIndexKind.Events), maxReportAgeMs: Number.POSITIVE_INFINITY })
   const { prefillEngines, decodeEngines } = scheduler.ledger.shard
-  prefillEngines.forEach(({ name }) => scheduler.noteReport(name, createIdleReport(EngineRole.Prefill)))
-  decodeEngines.forEach(({ name }) => scheduler.noteReport(name, createIdleReport(EngineRole.Decode)))
+  prefillEngines.forEach(({ name }) => scheduler.recordReport(name, createIdleReport(EngineRole.Prefill)))
+  decodeEngines.forEach(({ name }) => scheduler.recordReport(name, createIdleReport(EngineRole.Decode)))
   const prompts = Array.from({ length: PREFIXES }, (_, i) => prefixDigests(`${i} `.repeat(PROMPT_TOKENS * 2).slice(0, PROMPT_TOKENS * 4)))
   let placed = 0
   const cpuBefore = process.cpuUsage()
@@ -39,7 +39,7 @@
       if (answer.outcome === PlacementOutcome.Refused) return
       placed++
       await clock.sleep(answer.expectedTtftMs / 2)
-      scheduler.prefilled(request.label)
+      scheduler.recordPrefillEnd(request.label)
       await clock.sleep(DECODE_MS)
       scheduler.release(request.label, { completionTokens: 40, ttftErrorMs: 5, tbtP50Ms: 50 })
     })
@@ -52,7 +52,7 @@
 }
 
 function createShard (enginesPerPool: number): Shard {
-  const { configuration } = checkResources(tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
+  const { configuration } = checkResources(sampleDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
   const engines = (pool: string) => Array.from({ length: enginesPerPool }, (_, i) => ({ name: `${pool}-${i}`, kind: UpstreamKind.Engine, address: `10.0.0.1:${i}`, availabilityZone: 'z', pool, leaving: false }))
   const spec = configuration.model('draft')
   const prefillPool = configuration.pool('draft-prefill')
--- a/__utils__/bench/src/measureState.ts
+++ b/__utils__/bench/src/measureState.ts
@@ -2,7 +2,7 @@
 import { DeclarationsChecker } from '@reelspan/config.resources'
 import { ConfigStore } from '@reelspan/config.store'
 import { createPrefixIndex, PrefixIndexKind } from '@reelspan/scheduling.prefix-index'
-import { tuulDeclarations } from '@reelspan/utils.fakes'
+import { sampleDeclarations } from '@reelspan/utils.fakes'
 
 const PREFIX_ENGINES = 50
 const PREFIX_ENTRIES = 4000
@@ -14,7 +14,7 @@
   const index = createPrefixIndex(PrefixIndexKind.Events)
   const heapBytesBefore = heapBytes()
   for (let engine = 0; engine < PREFIX_ENGINES; engine++) {
-    for (let i = 0; i < PREFIX_ENTRIES; i++) index.noteSent(`engine-${engine}`, [{ digest: `${engine}.${i}`.padStart(12, '0'), tokens: 64 }], i)
+    for (let i = 0; i < PREFIX_ENTRIES; i++) index.recordSent(`engine-${engine}`, [{ digest: `${engine}.${i}`.padStart(12, '0'), tokens: 64 }], i)
   }
   return (heapBytes() - heapBytesBefore) / index.size
 }
@@ -22,7 +22,7 @@
 /** Measures the CPU time, in microseconds, to adopt one changed route in a configuration with the given number of routes. */
 export function measureChange (routes: number): number {
   const store = createStore()
-  const entries = tuulDeclarations().map((entry) => ({ ...entry, revision: 1 }))
+  const entries = sampleDeclarations().map((entry) => ({ ...entry, revision: 1 }))
   const route = (i: number, revision: number) => ({ kind: 'Route', name: `route-${i}`, revision, spec: { model: 'draft', ttftTargetMs: 300 + revision } })
   store.adopt({ revision: 1, full: true, changes: [...entries, ...Array.from({ length: routes }, (_, i) => route(i, 1))] }, 0)
   const cpuBefore = process.cpuUsage()
--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -9,11 +9,11 @@
 }
 
 const HOLDS = 'box/runtime/test.lib/holds.js'
-const ONCE_ONLY = 'box/runtime/test.lib/onceOnly.js'
-const LEFT_CALLER = 'request/relay/test.lib/leftCaller.js'
-const WHOLE_ANSWERS = 'box/runtime/test.lib/wholeAnswers.js'
+const ONCE_ONLY = 'box/runtime/test.lib/notRepeatableRequests.js'
+const LEFT_CALLER = 'request/relay/test.lib/callerDisconnects.js'
+const WHOLE_ANSWERS = 'box/runtime/test.lib/answerIntegrity.js'
 const CONFIGURATION = 'box/runtime/test.lib/configuration.js'
-const LEAVING = 'box/runtime/test.lib/leaving.js'
+const LEAVING = 'box/runtime/test.lib/plannedStopAndDraining.js'
 const ORDERS = 'box/runtime/test.lib/orders.js'
 const MEMBERSHIP = 'box/runtime/test.lib/membership.js'
 const SCHEDULER = 'scheduling/scheduler/test.lib/shardScheduler.js'
@@ -25,7 +25,7 @@
 const LIMITED = 'box/runtime/test.lib/upstreamLimitShared.js'
 const DRAINING = 'box/runtime/test.lib/drainingUpstream.js'
 const RESTORED = 'box/runtime/test.lib/restoredPlatform.js'
-const RETURNS = 'platform/adapter/test.lib/storeReturns.js'
+const RETURNS = 'platform/adapter/test.lib/restoredStoreReader.js'
 const ENGINE_LIMITS = 'scheduling/scheduler/test.lib/engineLimits.js'
 
 /** What the promises rest on. */
@@ -75,8 +75,8 @@
   {
     name: 'upstreams that are missing in a restored store\'s list are kept for a while',
     file: 'config/fleet/src/reconciledFleet.ts',
-    find: 'mayHaveLapsed() || this.#departures.sinceRestoredMs < REREGISTRATION_MS',
-    replace: 'mayHaveLapsed()',
+    find: 'mayHaveExpired() || this.#departures.sinceRestoredMs < REREGISTRATION_MS',
+    replace: 'mayHaveExpired()',
     tests: ['config/fleet/test.lib/restoredList.js'],
   },
   {
@@ -90,20 +90,21 @@
     name: 'keyed requests are taken within the bound of the proof alone',
     file: 'accounts/proof/src/freshnessProof.ts',
     find: 'return maxAgeMs === undefined || this.ageMs < maxAgeMs',
-    replace: 'return boundMs === undefined || this.ageMs < 100 * boundMs',
+    replace: 'return maxAgeMs === undefined || this.ageMs < 100 * maxAgeMs',
     tests: [ACCOUNTS],
   },
   {
     name: 'a peer\'s proof counts from when the peer was asked',
     file: 'accounts/proof/src/freshnessProof.ts',
-    find: 'this.noteRead(revision, askedAtMs - ageMs)',
-    replace: 'this.noteRead(revision, askedAtMs)',
-    tests: ['accounts/proof/test.lib/configurationProof.js'],
+    find: 'this.recordRead(revision, askedAtMs - ageMs)',
+    replace: 'this.recordRead(revision, askedAtMs)',
+    tests: ['accounts/proof/test.lib/freshnessProof.js'],
   },
   {
     name: 'a suspension ends all proofs',
     file: 'box/runtime/src/box.ts',
-    find: '    proof.forget()\n',
+    find: `    freshnessProof.invalidate()
+`,
     replace: '',
     tests: [ACCOUNTS],
   },
@@ -131,14 +132,14 @@
   {
     name: 'one box keeps an upstream\'s permits for all',
     file: 'box/runtime/src/createLimitParts.ts',
-    find: 'waitMs: permitBuckets.take(upstream, cost)',
-    replace: 'waitMs: 0 * permitBuckets.take(upstream, cost)',
+    find: 'waitMs: permitBuckets.acquire(upstream, cost)',
+    replace: 'waitMs: 0 * permitBuckets.acquire(upstream, cost)',
     tests: [LIMITED],
   },
   {
     name: 'a limit that one box hears of is told to others',
     file: 'upstream/signals/src/upstreamStates.ts',
-    find: 'if (changed && update && this.mayTell(update)) this.#opts.onChanged?.(update)',
+    find: 'if (changed && update && this.mayForward(update)) this.#opts.onChanged?.(update)',
     replace: '',
     tests: [LIMITED],
   },
@@ -238,7 +239,7 @@
     file: 'platform/adapter/src/httpCaller.ts',
     find: 'socket.once(\'end\', onDisconnect)',
     replace: '',
-    tests: ['platform/adapter/test.lib/leftClient.js'],
+    tests: ['platform/adapter/test.lib/clientDisconnect.js'],
   },
   {
     name: 'a request that is not sent yet has not run',
@@ -264,7 +265,7 @@
   {
     name: 'an answer must carry the label of its request',
     file: 'request/owner/src/completionRun.ts',
-    find: 'if (!sameHolder(event.label, label)) throw',
+    find: 'if (!isSameHolder(event.label, label)) throw',
     replace: 'if (event.label === undefined) throw',
     tests: [WHOLE_ANSWERS],
   },
@@ -348,7 +349,7 @@
   {
     name: 'an engine is told its role only while the right to order holds',
     file: 'upstream/orders/src/roleBalancer.ts',
-    find: 'if (!lease.holds()) {',
+    find: 'if (!lease.isValid()) {',
     replace: 'if (order.fence < 0) {',
     tests: [ROLES],
   },
@@ -413,21 +414,21 @@
     file: 'net/peer-link/src/outgoingConnection.ts',
     find: 'if (await this.#isIdleFor(PING_AFTER_IDLE_MS)) await this.#probe()',
     replace: 'await this.#isIdleFor(PING_AFTER_IDLE_MS)',
-    tests: ['net/peer-link/test.lib/silentConnections.js'],
+    tests: ['net/peer-link/test.lib/unresponsiveConnections.js'],
   },
   {
     name: 'kept connections from before a silent one are not used',
     file: 'net/http-exchange/src/connectionPool.ts',
-    find: 'if (unresponsive) this.distrustKept(sentAtMs, address)',
+    find: 'if (unresponsive) this.closeIdleInactiveSince(sentAtMs, address)',
     replace: '',
-    tests: ['net/http-exchange/test.lib/silentConnections.js'],
+    tests: ['net/http-exchange/test.lib/unresponsiveConnections.js'],
   },
   {
     name: 'a report that does not come on a kept connection is asked for on a new one',
     file: 'platform/adapter/src/platformEngineClient.ts',
     find: 'if (signal.aborted) throw thrown\n      return this.#read(address, signal, true)',
     replace: 'throw thrown',
-    tests: ['platform/adapter/test.lib/silentConnections.js'],
+    tests: ['platform/adapter/test.lib/unresponsiveConnections.js'],
   },
   {
     name: 'a box that takes no connections is not ready',
@@ -482,7 +483,7 @@
   {
     name: 'a box that stood still waits before it orders again',
     file: 'upstream/orders/src/orderLease.ts',
-    find: 'Math.max(this.#acquiredAtMs, pauses.wokeAtMs(MIN_PAUSE_SHARE * durationMs))',
+    find: 'Math.max(this.#acquiredAtMs, pauses.resumedAtMs(MIN_PAUSE_SHARE * durationMs))',
     replace: 'this.#acquiredAtMs',
     tests: ['upstream/orders/test.lib/orders.js'],
   },
--- a/__utils__/bench/src/memberHost.ts
+++ b/__utils__/bench/src/memberHost.ts
@@ -78,11 +78,11 @@
   const random = new SystemRandom()
   const peerAddress = `127.0.0.1:${port}`
   const link = new WsPeerLink({ clock, listenAddress: peerAddress, maxMessageBytes: 1_000_000, idleCloseMs: 30_000 })
-  const view = new MembershipView({ self: createMember(i, port, random.hex(16)), goneMemoryMs: 600_000 })
+  const view = new MembershipView({ self: createMember(i, port, random.hex(16)), goneRetentionMs: 600_000 })
   const node: Partial<MemberNode> & { revision: number } = { link, view, revision: 1, adoptedAtMs: 0 }
   node.prober = new Prober({
-    platformAnswering: () => undefined,
-    onPlatformAnswering: () => {},
+    platformAvailability: () => undefined,
+    onPlatformAvailability: () => {},
     clock,
     random,
     link,
@@ -123,5 +123,5 @@
   if (revision <= node.revision) return
   node.revision = revision
   node.adoptedAtMs = performance.timeOrigin + performance.now()
-  void node.prober.tellNow()
+  void node.prober.sendHeartbeatsNow()
 }
--- a/__utils__/bench/src/processFleet.ts
+++ b/__utils__/bench/src/processFleet.ts
@@ -6,7 +6,7 @@
 import { FleetEntryKind, UpstreamKind } from '@reelspan/config.fleet'
 import { ResourceKind } from '@reelspan/config.resources'
 import { Collection } from '@reelspan/core.messages'
-import { type EngineModelOptions, type PublishedEntry, tuulDeclarations, tuulFleet } from '@reelspan/utils.fakes'
+import { type EngineModelOptions, type PublishedEntry, sampleDeclarations, sampleFleet } from '@reelspan/utils.fakes'
 import { EngineRole } from '@reelspan/upstream.client'
 import { freePorts, type StandInMessage } from '@reelspan/utils.stand-ins'
 import { stringify } from 'smol-toml'
@@ -24,8 +24,8 @@
   engine?: Partial<EngineModelOptions>
   /** Duration of a call to a service. */
   serviceWorkMs?: number
-  declarations?: ReturnType<typeof tuulDeclarations>
-  deployment?: ReturnType<typeof tuulFleet>
+  declarations?: ReturnType<typeof sampleDeclarations>
+  deployment?: ReturnType<typeof sampleFleet>
   /** Latency targets of the completion route. */
   routeTargets?: { ttftTargetMs: number, tbtTargetMs: number }
 }
@@ -76,7 +76,7 @@
 
   /** Returns the processes of the boxes and upstreams of an availability zone. */
   processesInZone (availabilityZone: string): FleetProcess[] {
-    const { boxes, upstreams } = this.#opts.deployment ?? tuulFleet()
+    const { boxes, upstreams } = this.#opts.deployment ?? sampleFleet()
     const isInZone = (entry: { availabilityZone: string }) => entry.availabilityZone === availabilityZone
     return [
       ...boxes.filter(isInZone).map(({ name }) => this.box(name).process),
@@ -102,7 +102,7 @@
   }
 
   async #start (): Promise<void> {
-    const { boxes, upstreams } = this.#opts.deployment ?? tuulFleet()
+    const { boxes, upstreams } = this.#opts.deployment ?? sampleFleet()
     this.#platform = await startStandIn('platform', 'platform', {})
     await Promise.all(upstreams.map(async ({ name, kind, pool }) => {
       this.upstreams.set(name, await this.#startUpstream(name, kind, pool))
@@ -122,7 +122,7 @@
   }
 
   #declarations (): PublishedEntry[] {
-    const { declarations = tuulDeclarations(), routeTargets } = this.#opts
+    const { declarations = sampleDeclarations(), routeTargets } = this.#opts
     if (!routeTargets) return declarations
     const { ttftTargetMs, tbtTargetMs } = routeTargets
     return [...declarations, { kind: ResourceKind.Route, name: 'drafts', spec: { model: 'draft', ttftTargetMs, tbtTargetMs } }]
--- a/__utils__/bench/src/runVirtualLoad.ts
+++ b/__utils__/bench/src/runVirtualLoad.ts
@@ -123,7 +123,7 @@
       return
     case Condition.ZoneFrozen:
       fleet.boxes.filter(({ availabilityZone }) => availabilityZone === FROZEN_ZONE).forEach(({ name }) => fleet.kill(name))
-      fleet.cutOffZone(FROZEN_ZONE)
+      fleet.isolateZone(FROZEN_ZONE)
       return
     case Condition.CacheEventsLost:
       fleet.engines.forEach(({ faults }) => { faults.loseCacheEvents = true })
--- a/__utils__/bench/test/processes.ts
+++ b/__utils__/bench/test/processes.ts
@@ -86,7 +86,7 @@
   await waitUntilStarted(fleet, key)
   fleet.box('box-1').process.signal('SIGTERM')
   t.is((await first).verdict, 'finished')
-  t.is(await fleet.box('box-1').process.waitExit(), 0)
+  t.is(await fleet.box('box-1').process.waitForExit(), 0)
   const retry = await book(fleet, 'box-2', key)
   t.is(retry.verdict, 'finished')
   t.is(retry.body, (await first).body)
--- a/__utils__/fake-fleet/src/fakeFleet.ts
+++ b/__utils__/fake-fleet/src/fakeFleet.ts
@@ -4,12 +4,12 @@
 import { Verdict } from '@reelspan/core.error'
 import { Collection, type CompletionRequest, RequestKind, type ServiceRequest } from '@reelspan/core.messages'
 import { FleetEntryKind, UpstreamKind } from '@reelspan/config.fleet'
-import { EngineModel, type EngineModelOptions, FakeEngineClient, FakeNetwork, FakePlatformReader, FakeRelayClient, FakeServiceClient, FakeUpstreamProbe, type NodeClock, PlatformModel, publishFleet, type PublishedEntry, RelayedUpstreams, SeededRandom, ServiceModel, tuulDeclarations, tuulFleet, VirtualClock } from '@reelspan/utils.fakes'
+import { EngineModel, type EngineModelOptions, FakeEngineClient, FakeNetwork, FakePlatformReader, FakeRelayClient, FakeServiceClient, FakeUpstreamProbe, type NodeClock, PlatformModel, publishFleet, type PublishedEntry, RelayedUpstreams, SeededRandom, ServiceModel, sampleDeclarations, sampleFleet, VirtualClock } from '@reelspan/utils.fakes'
 import { Metrics } from '@reelspan/telemetry.metrics'
 import { EngineRole, type RelayedRequest } from '@reelspan/upstream.client'
 import { collectAnswer, type Outcome } from './collectAnswer.js'
-import { FakeRelayCaller } from './keepingCaller.js'
-import { RecordingLog } from './silentLog.js'
+import { FakeRelayCaller } from './fakeRelayCaller.js'
+import { RecordingLog } from './recordingLog.js'
 
 export interface FakeFleetOptions {
   seed?: number
@@ -18,7 +18,7 @@
   settings?: Partial<Record<keyof Settings, object>>
   engine?: Partial<EngineModelOptions>
   declarations?: readonly PublishedEntry[]
-  deployment?: ReturnType<typeof tuulFleet>
+  deployment?: ReturnType<typeof sampleFleet>
 }
 
 /** One process of a box. A restart adds another one at the same address. */
@@ -47,11 +47,11 @@
   readonly engines = new Map<string, EngineModel>()
   readonly services = new Map<string, ServiceModel>()
   /** Upstreams as relayed requests see them. */
-  readonly relayed: RelayedUpstreams
+  readonly relayedUpstreams: RelayedUpstreams
   readonly boxes: FakeBox[] = []
   readonly #opts: FakeFleetOptions
   readonly #stoppedEngines: EngineModel[] = []
-  readonly #deployment: ReturnType<typeof tuulFleet>
+  readonly #deployment: ReturnType<typeof sampleFleet>
   /** Addresses of boxes and upstreams by name. Upstreams have them too, so that traffic to them can be blocked. */
   readonly #addressOf = new Map<string, string>()
 
@@ -60,8 +60,8 @@
     this.random = new SeededRandom(opts.seed ?? 1)
     this.network = new FakeNetwork({ clock: this.clock, random: this.random })
     this.platform = new PlatformModel(this.clock)
-    this.relayed = new RelayedUpstreams({ clock: this.clock, isRunning: (address) => this.#isRunning(address), end: (address) => { void this.#crashAt(address) } })
-    const { boxes, upstreams } = opts.deployment ?? tuulFleet()
+    this.relayedUpstreams = new RelayedUpstreams({ clock: this.clock, isRunning: (address) => this.#isRunning(address), end: (address) => { void this.#crashAt(address) } })
+    const { boxes, upstreams } = opts.deployment ?? sampleFleet()
     this.#deployment = { boxes: boxes.slice(0, opts.boxCount ?? boxes.length), upstreams }
     this.#deployment.upstreams.forEach(({ name, kind, pool }, i) => this.#addUpstream(name, kind, pool, `10.1.0.${i + 1}:80`))
     this.#deployment.boxes.forEach(({ name }, i) => this.#addressOf.set(name, `10.0.${Math.floor(i / 250)}.${i % 250 + 1}:7101`))
@@ -69,7 +69,7 @@
 
   /** Publishes the deployment, starts the boxes, and waits until they know each other. */
   async start (): Promise<this> {
-    this.platform.publish(Collection.Declarations, this.#opts.declarations ?? tuulDeclarations())
+    this.platform.publish(Collection.Declarations, this.#opts.declarations ?? sampleDeclarations())
     publishFleet(
       this.platform,
       this.#deployment.boxes.map((box) => ({ ...box, peerAddress: this.address(box.name) })),
@@ -120,8 +120,8 @@
       platform: new FakePlatformReader({ clock, platform: this.platform, address }),
       engines: new FakeEngineClient({ ...channel, models: this.engines }),
       services: new FakeServiceClient({ ...channel, models: this.services }),
-      probe: new FakeUpstreamProbe({ ...channel, isThere: (upstream) => this.#isRunning(upstream) }),
-      relayClient: new FakeRelayClient({ ...channel, upstreams: this.relayed }),
+      probe: new FakeUpstreamProbe({ ...channel, isListening: (upstream) => this.#isRunning(upstream) }),
+      relayClient: new FakeRelayClient({ ...channel, upstreams: this.relayedUpstreams }),
       log,
       metrics,
     })
@@ -158,8 +158,8 @@
   }
 
   /** Blocks all traffic between a box and all other addresses. */
-  cutOff (name: string): void {
-    this.everyAddress().filter((address) => address !== this.address(name)).forEach((address) => this.network.cutBoth(this.address(name), address))
+  isolate (name: string): void {
+    this.allAddresses().filter((address) => address !== this.address(name)).forEach((address) => this.network.blockBoth(this.address(name), address))
   }
 
   /** Addresses of the boxes of an availability zone. */
@@ -168,12 +168,12 @@
   }
 
   /** Blocks all traffic between an availability zone and the others. */
-  cutOffZone (availabilityZone: string): void {
+  isolateZone (availabilityZone: string): void {
     const { boxes, upstreams } = this.#deployment
     const members = [...boxes, ...upstreams]
     const inside = members.filter((member) => member.availabilityZone === availabilityZone)
     const outside = members.filter((member) => member.availabilityZone !== availabilityZone)
-    inside.forEach((a) => outside.forEach((b) => this.network.cutBoth(this.address(a.name), this.address(b.name))))
+    inside.forEach((a) => outside.forEach((b) => this.network.blockBoth(this.address(a.name), this.address(b.name))))
   }
 
   /** Running and stopped engines, whose records of runs are kept. */
@@ -182,7 +182,7 @@
   }
 
   /** Addresses of boxes and upstreams. */
-  everyAddress (): string[] {
+  allAddresses (): string[] {
     return [...this.#addressOf.values()]
   }
 
@@ -250,7 +250,7 @@
   async relay (boxName: string, request: Partial<RelayedRequest> & Pick<RelayedRequest, 'id' | 'host' | 'target'>, deadlineMs?: number): Promise<FakeRelayCaller> {
     const caller = new FakeRelayCaller()
     const { box, killed } = this.box(boxName)
-    killed.signal.addEventListener('abort', () => caller.cut(), { once: true })
+    killed.signal.addEventListener('abort', () => caller.abort(), { once: true })
     const prompt = { model: 'draft', promptTokens: 500, maxTokens: 40, prefixes: [{ digest: request.target, tokens: 500 }] }
     await box.relay({ method: 'POST', headers: [], body: Buffer.from('body'), callerAddress: '10.9.0.1', prompt, ...request }, caller, deadlineMs)
     return caller
@@ -266,7 +266,7 @@
     if (engine) this.killEngine(engine.name)
     this.services.delete(address)
     engine?.crash()
-    this.relayed.abortRuns(address)
+    this.relayedUpstreams.abortRuns(address)
     await this.clock.sleep(RESTART_DELAY_MS)
     if (engine) this.#addEngine(engine.name, engine.role, address)
     if (service) this.services.set(address, new ServiceModel({ clock: this.clock, name: service.name }))
--- a/__utils__/fake-fleet/src/keepingCaller.ts
+++ b/__utils__/fake-fleet/src/fakeRelayCaller.ts
@@ -8,9 +8,9 @@
   status?: number
   body = ''
   /** Whether the answer was received completely. */
-  whole = false
+  complete = false
   /** Whether the answer was aborted before its end. */
-  wasCut = false
+  wasAborted = false
   refused?: FinalAnswer
 
   get signal (): AbortSignal {
@@ -30,11 +30,11 @@
   }
 
   finish (): void {
-    this.whole = true
+    this.complete = true
   }
 
-  cut (): void {
-    this.wasCut = true
+  abort (): void {
+    this.wasAborted = true
   }
 
   refuse (final: FinalAnswer): void {
--- a/__utils__/fake-fleet/src/index.ts
+++ b/__utils__/fake-fleet/src/index.ts
@@ -1,6 +1,6 @@
 export { FakeFleet } from './fakeFleet.js'
 export type { FakeFleetOptions, FakeBox } from './fakeFleet.js'
-export { RecordingLog as SilentLog } from './silentLog.js'
+export { RecordingLog } from './recordingLog.js'
 export { collectAnswer } from './collectAnswer.js'
 export type { Outcome } from './collectAnswer.js'
-export { FakeRelayCaller as KeepingCaller } from './keepingCaller.js'
+export { FakeRelayCaller } from './fakeRelayCaller.js'
--- a/__utils__/fakes/src/engineModel.ts
+++ b/__utils__/fakes/src/engineModel.ts
@@ -39,7 +39,7 @@
   /** Called when the engine has changed its role. */
   onRoleChanged?: (role: EngineRole) => void
   /** Called when the engine starts to decode a request. */
-  onRun?: (engine: string, prompt: string) => void
+  onDecodeStarted?: (engine: string, prompt: string) => void
 }
 
 /** Faults that can be injected into an engine. */
@@ -317,7 +317,7 @@
       throw thrown
     }
     stream.importing = false
-    this.#opts.onRun?.(this.name, stream.prompt)
+    this.#opts.onDecodeStarted?.(this.name, stream.prompt)
     if (!this.#decoding) void this.#runDecodeSteps()
     return stream
   }
--- a/__utils__/fakes/src/fakeClients.ts
+++ b/__utils__/fakes/src/fakeClients.ts
@@ -2,8 +2,8 @@
 import { type Clock, raceTimeout, TimedOut } from '@reelspan/core.env'
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
 import { type Collection, type HoldLabel } from '@reelspan/core.messages'
-import { type CacheEventPage, type DecodeEvent, type DecodeRequest, EngineClient, type EngineOrder, type EngineReport, type PrefillRequest, type PrefillResult, ServiceClient, type ServiceCall, type ServiceReply, type UpstreamCallOptions, UpstreamError, UpstreamPresence, UpstreamProbe } from '@reelspan/upstream.client'
-import { rejectOnAbort } from './orAborted.js'
+import { type CacheEventPage, type DecodeEvent, type DecodeRequest, EngineClient, type EngineOrder, type EngineReport, type PrefillRequest, type PrefillResult, ServiceClient, type ServiceCall, type ServiceReply, type UpstreamCallOptions, UpstreamError, UpstreamProbeResult, UpstreamProbe } from '@reelspan/upstream.client'
+import { rejectOnAbort } from './rejectOnAbort.js'
 import { type EngineModel } from './engineModel.js'
 import { type FakeNetwork } from './fakeNetwork.js'
 import { type NodeClock } from './nodeClock.js'
@@ -127,7 +127,7 @@
   /** Address of the probing process. */
   address: string
   /** Whether an upstream's process listens at an address. */
-  isThere: (address: string) => boolean
+  isListening: (address: string) => boolean
 }
 
 export class FakeUpstreamProbe extends UpstreamProbe {
@@ -138,13 +138,13 @@
     this.#opts = opts
   }
 
-  async look (address: string): Promise<UpstreamPresence> {
-    const { clock, network, address: from, isThere } = this.#opts
+  async probe (address: string): Promise<UpstreamProbeResult> {
+    const { clock, network, address: from, isListening } = this.#opts
     await clock.waitUntilRunning()
     const arrived = await network.deliver(from, address) && await network.deliver(address, from)
     await clock.waitUntilRunning()
-    if (!arrived) return UpstreamPresence.Silent
-    return isThere(address) ? UpstreamPresence.Listens : UpstreamPresence.Refuses
+    if (!arrived) return UpstreamProbeResult.Unresponsive
+    return isListening(address) ? UpstreamProbeResult.Listening : UpstreamProbeResult.Refused
   }
 }
 
@@ -177,10 +177,10 @@
   async read (collection: Collection, sinceRevision: number, { waitMs, signal }: PlatformReadOptions): Promise<RevisionedContent> {
     const { clock, platform, address } = this.#opts
     const askedAtMs = clock.nowMs()
-    if (platform.silentTo.has(address)) await failAfter(clock, PLATFORM_CONNECT_TIMEOUT_MS, signal)
+    if (platform.unresponsiveTo.has(address)) await failAfter(clock, PLATFORM_CONNECT_TIMEOUT_MS, signal)
     const content = await platform.read(collection, sinceRevision, waitMs, signal)
-    if (platform.silentTo.has(address)) await failAfter(clock, askedAtMs + waitMs + PLATFORM_ANSWER_TIMEOUT_MS - clock.nowMs(), signal)
-    await clock.settle()
+    if (platform.unresponsiveTo.has(address)) await failAfter(clock, askedAtMs + waitMs + PLATFORM_ANSWER_TIMEOUT_MS - clock.nowMs(), signal)
+    await clock.awaitPendingInput()
     this.#lastAnswerMs = clock.nowMs()
     return structuredClone(content)
   }
--- a/__utils__/fakes/src/fakeNetwork.ts
+++ b/__utils__/fakes/src/fakeNetwork.ts
@@ -3,7 +3,7 @@
 import { ReelspanError } from '@reelspan/core.error'
 import { type PeerCallOptions, type PeerHandler, PeerLink, PeerLinkError, type PeerMessage } from '@reelspan/core.messages'
 import { NodeClock } from './nodeClock.js'
-import { rejectOnAbort } from './orAborted.js'
+import { rejectOnAbort } from './rejectOnAbort.js'
 
 /** A process on the fake network. */
 interface Node {
@@ -27,7 +27,7 @@
   readonly #blocked = new Set<string>()
   readonly #healed = new Notifier()
   /** Share of the calls that are delivered twice. */
-  doubledShare = 0
+  duplicateShare = 0
 
   constructor (opts: FakeNetworkOptions) {
     this.#opts = { latencyMs: 1, jitterMs: 0.5, ...opts }
@@ -52,13 +52,13 @@
   }
 
   /** Drops all messages from one address to the other until `healAll`. */
-  cut (from: string, to: string): void {
+  block (from: string, to: string): void {
     this.#blocked.add(`${from}>${to}`)
   }
 
-  cutBoth (a: string, b: string): void {
-    this.cut(a, b)
-    this.cut(b, a)
+  blockBoth (a: string, b: string): void {
+    this.block(a, b)
+    this.block(b, a)
   }
 
   healAll (): void {
@@ -79,7 +79,7 @@
   }
 
   shouldDuplicate (): boolean {
-    return this.doubledShare > 0 && this.#opts.random.nextFloat() < this.doubledShare
+    return this.duplicateShare > 0 && this.#opts.random.nextFloat() < this.duplicateShare
   }
 }
 
--- a/__utils__/fakes/src/nodeClock.ts
+++ b/__utils__/fakes/src/nodeClock.ts
@@ -26,7 +26,7 @@
     await this.waitUntilRunning()
   }
 
-  async settle (): Promise<void> {
+  async awaitPendingInput (): Promise<void> {
     await this.waitUntilRunning()
   }
 
--- a/__utils__/fakes/src/platformModel.ts
+++ b/__utils__/fakes/src/platformModel.ts
@@ -1,4 +1,4 @@
-import { type ContentChange, orderOf, type RevisionedContent, storeRevisionOf } from '@reelspan/config.store'
+import { type ContentChange, orderedRevisionOf, type RevisionedContent, storeRevisionOf } from '@reelspan/config.store'
 import { type Clock, Notifier } from '@reelspan/core.env'
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
 import { Collection } from '@reelspan/core.messages'
@@ -24,7 +24,7 @@
   /** Whether all calls fail. */
   outage = false
   /** Addresses of readers that get no answer. */
-  readonly silentTo = new Set<string>()
+  readonly unresponsiveTo = new Set<string>()
   /** Age of the state that reads return. */
   staleMs = 0
   /** Additional lag of the fleet's collection. */
@@ -60,7 +60,7 @@
   }
 
   /** Takes a snapshot of the current state. */
-  copy (): PlatformSnapshot {
+  snapshot (): PlatformSnapshot {
     return { [Collection.Declarations]: this.#latest(Collection.Declarations), [Collection.Fleet]: this.#latest(Collection.Fleet) }
   }
 
@@ -68,7 +68,7 @@
   restore (copy: PlatformSnapshot): void {
     const atMs = this.#clock.nowMs()
     const fleet = copy[Collection.Fleet]
-    const revision = orderOf({ era: ++this.#era, revision: storeRevisionOf(fleet.revision).revision })
+    const revision = orderedRevisionOf({ era: ++this.#era, revision: storeRevisionOf(fleet.revision).revision })
     const live = [...fleet.entries].filter(([, { spec }]) => spec !== null)
     this.#history[Collection.Fleet].push({ atMs, revision, entries: new Map(live.map(([id, entry]) => [id, { ...entry, revision }])) })
     this.#history[Collection.Declarations].push({ ...copy[Collection.Declarations], atMs })
--- a/__utils__/fakes/src/relayedUpstreams.ts
+++ b/__utils__/fakes/src/relayedUpstreams.ts
@@ -36,9 +36,9 @@
 export class RelayedUpstreams {
   readonly arrivals: RelayedArrival[] = []
   /** Crashes of upstreams caused by requests, in order. */
-  readonly endedUnder: { id: string, target: string, address: string, atMs: number }[] = []
+  readonly crashes: { id: string, target: string, address: string, atMs: number }[] = []
   /** Decides whether the request crashes the upstream that runs it. */
-  endsUpstream: (request: RelayedRequest) => boolean = () => false
+  crashesUpstream: (request: RelayedRequest) => boolean = () => false
   /** Signals that an upstream advertises in its responses to a box. */
   signalsOf: (upstream: string, boxAddress: string) => Partial<UpstreamSignals> = () => ({})
   /** Status with which an upstream refuses requests of a box without running them; undefined if it runs them. */
@@ -66,7 +66,7 @@
 
   run (target: RelayTarget, request: RelayedRequest, { signal, resumeAfter }: RelayRunOptions): RelayAnswer {
     const process = this.#processAt(target.address)
-    if (this.endsUpstream(request)) void this.#crashDuring(target.address, request)
+    if (this.crashesUpstream(request)) void this.#crashDuring(target.address, request)
     const from = resumeAfter === undefined ? 0 : Number(resumeAfter) + 1
     return { status: 200, notRun: false, headers: [], body: this.#body(target.address, from, signal, process) }
   }
@@ -82,7 +82,7 @@
   async #crashDuring (address: string, { id, target }: RelayedRequest): Promise<void> {
     await this.#opts.clock.sleep(CRASH_DELAY_MS)
     if (!this.#opts.isRunning(address)) return
-    this.endedUnder.push({ id, target, address, atMs: this.#opts.clock.nowMs() })
+    this.crashes.push({ id, target, address, atMs: this.#opts.clock.nowMs() })
     this.#opts.end(address)
   }
 
--- a/__utils__/fakes/src/virtualClock.ts
+++ b/__utils__/fakes/src/virtualClock.ts
@@ -1,5 +1,5 @@
 import { Clock, type SleepOptions } from '@reelspan/core.env'
-import { type Timer, TimerQueue } from './sleeperQueue.js'
+import { type Timer, TimerQueue } from './timerQueue.js'
 
 /** A clock that only moves when it is advanced. Timers fire in the order of their times, then in the order in which they were set. */
 export class VirtualClock extends Clock {
@@ -29,7 +29,7 @@
     })
   }
 
-  async settle (): Promise<void> {}
+  async awaitPendingInput (): Promise<void> {}
 
   /** Advances the time and fires all timers that become due, in order. */
   async advance (durationMs: number): Promise<void> {
--- a/__utils__/fuzz/src/commands.ts
+++ b/__utils__/fuzz/src/commands.ts
@@ -108,9 +108,9 @@
 const resume = step('resume', [], ({ fleet }) => fleet.liveBoxes().forEach(({ clock }) => clock.resume()))
 
 const cut = step('cut', [smallNat, smallNat, fc.boolean()], ({ fleet }, a, b, oneWay) => {
-  const addresses = fleet.everyAddress()
-  if (oneWay) fleet.network.cut(pick(addresses, a), pick(addresses, b))
-  else fleet.network.cutBoth(pick(addresses, a), pick(addresses, b))
+  const addresses = fleet.allAddresses()
+  if (oneWay) fleet.network.block(pick(addresses, a), pick(addresses, b))
+  else fleet.network.blockBoth(pick(addresses, a), pick(addresses, b))
 })
 
 const heal = step('heal', [], ({ fleet }) => fleet.network.healAll())
@@ -151,7 +151,7 @@
   Object.assign(pick([...fleet.services.values()], which).faults, { loseAnswers, crossAnswers })
 })
 
-const doubled = step('doubled', [fc.constantFrom(0, 0.3, 1)], ({ fleet }, share) => { fleet.network.doubledShare = share })
+const doubled = step('doubled', [fc.constantFrom(0, 0.3, 1)], ({ fleet }, share) => { fleet.network.duplicateShare = share })
 
 const wait = step('wait', [fc.constantFrom(10, 100, 400, 1500, 4000)], ({ fleet }, durationMs) => fleet.clock.advance(durationMs))
 
@@ -165,7 +165,7 @@
 /** Ends all faults and advances the time far enough for all activity to end. */
 export async function quiesce ({ fleet }: FuzzContext): Promise<void> {
   fleet.network.healAll()
-  fleet.network.doubledShare = 0
+  fleet.network.duplicateShare = 0
   fleet.platform.outage = false
   fleet.platform.staleMs = 0
   fleet.liveBoxes().forEach(({ clock }) => clock.resume())
--- a/__utils__/platform-stand-ins/src/standInStore.ts
+++ b/__utils__/platform-stand-ins/src/standInStore.ts
@@ -32,20 +32,20 @@
   /** Paths of all calls so far. */
   readonly calls: string[] = []
   /** Status of all responses while it is set. */
-  failWith?: number
+  failWithStatus?: number
   /** Whether calls get no response. */
-  mute = false
+  unresponsive = false
   /** Delay of each response. */
   delayMs = 0
   itemsPerPage = 2
   /** Number of restores from a snapshot, sent as a header. Responses have no such header while it is undefined. */
   era?: number
   /** Whether all watches are rejected as if their history was compacted. */
-  failWatches = false
+  rejectWatches = false
   /** Called before a call is answered. */
   onCall?: () => void
   /** Sent instead of the era in the header of each response, if set. */
-  eraText?: string
+  eraHeader?: string
 
   constructor () {
     this.#server = createServer((message, response) => {
@@ -83,23 +83,23 @@
   }
 
   /** From now on, reads return the present state, while watches continue to return changes. */
-  answerStaleReads (): void {
+  serveStaleReads (): void {
     this.#staleSnapshot = { items: new Map(this.#items), revision: this.#revision }
   }
 
-  answerFreshReads (): void {
+  serveFreshReads (): void {
     this.#staleSnapshot = undefined
   }
 
   /** Rejects watches that start before the present revision, including those that are waiting. */
-  forgetHistory (): void {
+  compactHistory (): void {
     this.#compactedUpTo = this.#revision
     this.#history.length = 0;
     [...this.#waitingWatches].forEach((wake) => wake())
   }
 
   /** Takes a snapshot of the current state. */
-  copy (): StoreSnapshot {
+  snapshot (): StoreSnapshot {
     return { items: new Map(this.#items), revision: this.#revision, history: [...this.#history] }
   }
 
@@ -124,11 +124,11 @@
   #serve (url: URL, response: ServerResponse): void {
     this.calls.push(url.pathname)
     this.onCall?.()
-    if (this.mute) return
-    const eraText = this.eraText ?? this.era?.toString() ?? ''
+    if (this.unresponsive) return
+    const eraText = this.eraHeader ?? this.era?.toString() ?? ''
     if (eraText !== '') response.setHeader('Store-Era', eraText)
-    if (this.failWith !== undefined) {
-      response.writeHead(this.failWith).end()
+    if (this.failWithStatus !== undefined) {
+      response.writeHead(this.failWithStatus).end()
       return
     }
     const query = url.searchParams
@@ -162,7 +162,7 @@
     const answer = () => {
       this.#waitingWatches.delete(wake)
       clearTimeout(timer)
-      if (this.failWatches || after < this.#compactedUpTo || after > this.#revision) {
+      if (this.rejectWatches || after < this.#compactedUpTo || after > this.#revision) {
         response.writeHead(410).end()
         return
       }
@@ -172,7 +172,7 @@
       sendJson(response, { events, store_revision: this.#revision })
     }
     const wake = () => {
-      if (this.failWatches || after < this.#compactedUpTo || after > this.#revision || this.#changesAfter(prefix, after).length > 0) answer()
+      if (this.rejectWatches || after < this.#compactedUpTo || after > this.#revision || this.#changesAfter(prefix, after).length > 0) answer()
     }
     const timer = setTimeout(answer, waitMs)
     this.#waitingWatches.add(wake)
--- a/__utils__/platform-stand-ins/src/standInUpstream.ts
+++ b/__utils__/platform-stand-ins/src/standInUpstream.ts
@@ -14,11 +14,11 @@
   instance: string
   path: string
   /** As of `performance.now()`. */
-  beganAtMs: number
+  startedAtMs: number
   /** Unset while it runs. */
   endedAtMs?: number
   /** Whether the answer was written completely to an open connection. */
-  whole: boolean
+  complete: boolean
   /** Whether the answer was lost by an injected fault or by stopping the upstream. */
   answerLost: boolean
   /** Last event id of the caller, if a stream was resumed. */
@@ -76,14 +76,14 @@
   /** Id of the instance; requests that expect another instance are refused. */
   instance?: string
   /** Reported start time; reports have none if it is undefined. */
-  bornMs?: number
+  startTimeMs?: number
   /** Duration of a call, or the interval between two events of a stream. */
   workMs?: number
   /** Returns the amount of work of a request by its id; undefined selects the default. */
   shapeOf?: (id: string) => RequestShape | undefined
   handles?: HandleTable
   /** How long a prefill result is kept. */
-  handleLifeMs?: number
+  handleTtlMs?: number
   /** Decides whether to refuse a request without running it. */
   refuses?: () => boolean
   /** Decides whether the answer of a run is lost. */
@@ -93,7 +93,7 @@
   /** State given in its reports. */
   reportedState?: () => string
   /** Called when a request starts to run. */
-  onRun?: (run: UpstreamRun) => void
+  onRunStarted?: (run: UpstreamRun) => void
   /** Status of the response to an order; undefined if orders get no response. */
   orderStatus?: () => number | undefined
   port?: number
@@ -130,12 +130,12 @@
   }
 
   /** Ids of the requests that it ran. */
-  get ran (): string[] {
+  get runIds (): string[] {
     return this.runs.map(({ id }) => id)
   }
 
   /** Number of handles that were neither used nor freed. */
-  get handlesLeft (): number {
+  get unusedHandles (): number {
     return this.#handles.size
   }
 
@@ -178,13 +178,13 @@
   async #run (id: string, { url = '', headers }: IncomingMessage, response: ServerResponse): Promise<void> {
     const after = headers['last-event-id']
     const losesAnswer = this.#opts.losesAnswer?.() ?? false
-    const run: UpstreamRun = { id, instance: this.#opts.instance ?? '', path: url, beganAtMs: performance.now(), whole: false, answerLost: losesAnswer, resumedAfter: after === undefined ? undefined : Number(after) }
+    const run: UpstreamRun = { id, instance: this.#opts.instance ?? '', path: url, startedAtMs: performance.now(), complete: false, answerLost: losesAnswer, resumedAfter: after === undefined ? undefined : Number(after) }
     this.runs.push(run)
-    this.#opts.onRun?.(run)
+    this.#opts.onRunStarted?.(run)
     response.on('close', () => { run.endedAtMs ??= performance.now() })
     if (this.#role === Role.Service) await this.#call(id, response, losesAnswer)
     else await this.#stream(id, response, { from: run.resumedAfter === undefined ? 0 : run.resumedAfter + 1, losesAnswer })
-    run.whole = response.writableEnded && !response.destroyed
+    run.complete = response.writableEnded && !response.destroyed
     run.endedAtMs ??= performance.now()
   }
 
@@ -193,7 +193,7 @@
   }
 
   #report (response: ServerResponse): void {
-    response.end(JSON.stringify({ born: this.#opts.bornMs, stage: this.#role, state: this.#opts.reportedState?.(), models: [{ name: 'm', version: 1, adapters: [] }], busy: false, sequence: 0, queued: 0, running: 0, kv_used: 0, kv_total: 1000, kv_handles: 0 }))
+    response.end(JSON.stringify({ born: this.#opts.startTimeMs, stage: this.#role, state: this.#opts.reportedState?.(), models: [{ name: 'm', version: 1, adapters: [] }], busy: false, sequence: 0, queued: 0, running: 0, kv_used: 0, kv_total: 1000, kv_handles: 0 }))
   }
 
   #acceptOrder (text: string, headers: IncomingMessage['headers'], response: ServerResponse): void {
@@ -207,7 +207,7 @@
     if (headers['x-reelspan-serving-stage'] !== 'prefill') return refuse(response, 421)
     const handle = `${this.#opts.instance ?? 'h'}${this.#nextHandle++}`
     this.#handles.add(handle)
-    if (this.#opts.handleLifeMs !== undefined) setTimeout(() => this.#handles.consume(handle), this.#opts.handleLifeMs).unref()
+    if (this.#opts.handleTtlMs !== undefined) setTimeout(() => this.#handles.consume(handle), this.#opts.handleTtlMs).unref()
     response.end(JSON.stringify({ kv_handle: handle, tokens: 100, version: 1 }))
   }
 
--- a/__utils__/soak/src/checkBounds.ts
+++ b/__utils__/soak/src/checkBounds.ts
@@ -1,8 +1,8 @@
 import { type UpstreamArrival, type UpstreamRun } from '@reelspan/utils.platform-stand-ins'
 import { type Attempt, RouteKind } from './attempt.js'
 import { groupBy } from './groupBy.js'
-import { DisruptionKind } from './harmLog.js'
-import { type TimeInterval } from './stallWatch.js'
+import { DisruptionKind } from './disruptionLog.js'
+import { type TimeInterval } from './stallDetector.js'
 
 /** An upstream that started draining, or whose entry was removed while it keeps serving. */
 export interface Departure {
--- a/__utils__/soak/src/checkKeys.ts
+++ b/__utils__/soak/src/checkKeys.ts
@@ -1,6 +1,6 @@
-import { type ReceivedHead, type UpstreamRun } from '@reelspan/utils.platform-stand-ins'
+import { type ReceivedHeaders, type UpstreamRun } from '@reelspan/utils.platform-stand-ins'
 import { type Publication } from './checkBounds.js'
-import { type TimeInterval } from './stallWatch.js'
+import { type TimeInterval } from './stallDetector.js'
 
 /** A call with the key that only one version declares. Times are on `performance.now()`. */
 export interface KeyProbe {
@@ -13,7 +13,7 @@
   probes: readonly KeyProbe[]
   runs: readonly UpstreamRun[]
   publications: readonly Publication[]
-  received: readonly ReceivedHead[]
+  received: readonly ReceivedHeaders[]
   /** Intervals in which the store's reads showed an older state, from a lagging replica or a restored backup. */
   staleReads: readonly TimeInterval[]
   /** All keys that any version declared. */
--- a/__utils__/soak/src/checkLimits.ts
+++ b/__utils__/soak/src/checkLimits.ts
@@ -1,4 +1,4 @@
-import { fullestWindow } from '@reelspan/utils.fakes'
+import { maxWindowUsage } from '@reelspan/utils.fakes'
 import { type CheckedHistory } from './checkBounds.js'
 
 /** A period in which an upstream advertised a rate limit. */
@@ -23,7 +23,7 @@
       const box = boxOf.get(id)
       return at === instance && box !== undefined && atMs >= fromMs + SETTLE_MS && atMs <= toMs && isUndisrupted(box, [instance], { fromMs: atMs - SETTLE_MS, toMs: atMs })
     })
-    const usedShare = fullestWindow(countedArrivals.map(({ atMs }) => ({ atMs, cost: 1 })), { perSecond, ...LIMIT_ALLOWANCE })
+    const usedShare = maxWindowUsage(countedArrivals.map(({ atMs }) => ({ atMs, cost: 1 })), { perSecond, ...LIMIT_ALLOWANCE })
     return usedShare > 1 ? [`${instance} advertised a limit of ${perSecond} requests per second and received ${usedShare.toFixed(2)} times the allowance`] : []
   })
 }
--- a/__utils__/soak/src/client.ts
+++ b/__utils__/soak/src/client.ts
@@ -1,5 +1,5 @@
 import { type SeededRandom } from '@reelspan/utils.fakes'
-import { askDirectory, requestHeaders } from '@reelspan/utils.platform-stand-ins'
+import { queryDirectory, requestHeaders } from '@reelspan/utils.platform-stand-ins'
 import { Agent, request } from 'undici'
 import { type Attempt, isStream, RouteKind } from './attempt.js'
 import { drawOne } from './drawOne.js'
@@ -94,7 +94,7 @@
   async #refreshAddresses (): Promise<void> {
     if (performance.now() < this.#addressesExpireAtMs) return
     const { addresses: { directory } } = drawOne(this.#opts.random, this.#opts.boxes)
-    const answer = await askDirectory(directory, this.#agent)
+    const answer = await queryDirectory(directory, this.#agent)
     if (!answer) return
     this.#addresses = answer.addresses
     this.#addressesExpireAtMs = performance.now() + (this.#opts.holds ? LONG_RETENTION_MS : answer.keepMs)
--- a/__utils__/soak/src/faultProxy.ts
+++ b/__utils__/soak/src/faultProxy.ts
@@ -62,7 +62,7 @@
   }
 
   /** Blackholes open connections permanently, without closing or resetting them. New connections work. Returns the number of blackholed connections. */
-  silenceOpen (direction: BlackholeDirection, isChosen: () => boolean = () => true): number {
+  blackholeOpenConnections (direction: BlackholeDirection, isChosen: () => boolean = () => true): number {
     const chosen = [...this.#connections].filter(isChosen)
     chosen.forEach((connection) => connection.blackhole(direction))
     return chosen.length
--- a/__utils__/soak/src/faults.ts
+++ b/__utils__/soak/src/faults.ts
@@ -2,7 +2,7 @@
 import { type SeededRandom } from '@reelspan/utils.fakes'
 import { drawOne } from './drawOne.js'
 import { type FaultProxy, NetworkFault, BlackholeDirection } from './faultProxy.js'
-import { ALL_SUBJECTS } from './harmLog.js'
+import { ALL_SUBJECTS } from './disruptionLog.js'
 import { type SoakBox, type SoakFleet, type UpstreamReplica } from './soakFleet.js'
 
 /** Kinds of faults that are injected from outside. */
@@ -151,11 +151,11 @@
       case FaultKind.SilentStoreConnections: return this.#blackhole(box.storeProxy, front)
       case FaultKind.SilentPeerConnections: return this.#blackhole(box.peerProxy, ALL_SUBJECTS)
       case FaultKind.SilentUpstreamConnections: return this.#blackholeUpstream()
-      case FaultKind.StoreRefuses: return this.#disruptStore(durationMs, () => { store.failWith = drawOne(random, [429, 503]) }, () => { store.failWith = undefined })
-      case FaultKind.StoreSilent: return this.#disruptStore(durationMs, () => { store.mute = true }, () => { store.mute = false })
+      case FaultKind.StoreRefuses: return this.#disruptStore(durationMs, () => { store.failWithStatus = drawOne(random, [429, 503]) }, () => { store.failWithStatus = undefined })
+      case FaultKind.StoreSilent: return this.#disruptStore(durationMs, () => { store.unresponsive = true }, () => { store.unresponsive = false })
       case FaultKind.StoreSlow: return this.#disruptStore(durationMs, () => { store.delayMs = this.#drawMs(0, MAX_STORE_DELAY_MS) }, () => { store.delayMs = 0 })
       case FaultKind.StoreStale: return this.#withUnused([store], () => this.#serveStaleReads())
-      case FaultKind.StoreForgets: return this.#disruptStore(0, () => store.forgetHistory(), () => {})
+      case FaultKind.StoreForgets: return this.#disruptStore(0, () => store.compactHistory(), () => {})
       case FaultKind.CrashUpstream: return this.#crashUpstream(durationMs)
       case FaultKind.UpstreamLeaves: return this.#withUnused(fleet.replicas, (replica) => this.drainUpstream(replica))
       case FaultKind.UpstreamLeavesWhileCut: return this.#drainWhileDisconnected(box, durationMs)
@@ -229,7 +229,7 @@
   async #blackhole (proxy: FaultProxy, subject: string): Promise<void> {
     const { fleet, random } = this.#opts
     const direction = drawOne(random, Object.values(BlackholeDirection))
-    const count = proxy.silenceOpen(direction, () => random.nextFloat() < BLACKHOLED_SHARE)
+    const count = proxy.blackholeOpenConnections(direction, () => random.nextFloat() < BLACKHOLED_SHARE)
     fleet.disruptions.record(subject)
     this.#record(`${count} connections of ${subject} are blackholed ${direction}`)
   }
@@ -255,12 +255,12 @@
     await this.#withDisruption(ALL_SUBJECTS, async () => {
       const staleInterval = { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
       fleet.staleReads.push(staleInterval)
-      store.answerStaleReads()
+      store.serveStaleReads()
       fleet.publish()
       await sleep(PROPAGATION_MS)
-      store.forgetHistory()
+      store.compactHistory()
       await sleep(STALE_READS_MS)
-      store.answerFreshReads()
+      store.serveFreshReads()
       staleInterval.toMs = performance.now()
     })
   }
@@ -270,19 +270,19 @@
     const { fleet, fleet: { store } } = this.#opts
     this.#record(`the store is restored from a backup after an outage of ${outageMs} ms`)
     await this.#withDisruption(ALL_SUBJECTS, async () => {
-      const copy = store.copy()
+      const copy = store.snapshot()
       for (let i = 0; i < LOST_PUBLICATIONS; i++) fleet.publish()
       await this.#withUnused(fleet.replicas, async (replica) => {
         await fleet.stopUpstream(replica)
         await fleet.restartUpstream(replica)
       })
       await sleep(PROPAGATION_MS)
-      store.mute = true
+      store.unresponsive = true
       await sleep(outageMs)
       const staleInterval = { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
       fleet.staleReads.push(staleInterval)
       store.restore(copy)
-      store.mute = false
+      store.unresponsive = false
       await sleep(PROPAGATION_MS)
       fleet.rewriteLostEntries()
       staleInterval.toMs = performance.now()
--- a/__utils__/soak/src/main.ts
+++ b/__utils__/soak/src/main.ts
@@ -1,7 +1,7 @@
 import { readFile } from 'node:fs/promises'
 import meow from 'meow'
 import { FaultKind } from './faults.js'
-import { saveLogs } from './keepLogs.js'
+import { saveLogs } from './saveLogs.js'
 import { soak, type SoakResult } from './soak.js'
 import { stopFleets } from './soakFleet.js'
 
--- a/__utils__/soak/src/soak.ts
+++ b/__utils__/soak/src/soak.ts
@@ -10,10 +10,10 @@
 import { drawOne } from './drawOne.js'
 import { FaultKind, FaultInjector } from './faults.js'
 import { groupBy } from './groupBy.js'
-import { type DisruptionKind } from './harmLog.js'
+import { type DisruptionKind } from './disruptionLog.js'
 import { measureMemory } from './measureMemory.js'
 import { ACCOUNT, DEFAULT_KEY, keyOf, type SoakBox, SoakFleet } from './soakFleet.js'
-import { overlaps, type TimeInterval, StallDetector } from './stallWatch.js'
+import { overlaps, type TimeInterval, StallDetector } from './stallDetector.js'
 
 export interface SoakOptions {
   seed: number
--- a/__utils__/soak/src/soakFleet.ts
+++ b/__utils__/soak/src/soakFleet.ts
@@ -5,17 +5,17 @@
 import { fileURLToPath } from 'node:url'
 import { FleetProcess } from '@reelspan/utils.bench'
 import { type SeededRandom } from '@reelspan/utils.fakes'
-import { type BoxAddresses, enterUpstream, HandleTable, listedInstances, publishRoutes, type ReceivedHead, removeUpstream, requestHeaders, Role, settingsFileText, StandInStore, StandInUpstream, type UpstreamArrival, type UpstreamRun } from '@reelspan/utils.platform-stand-ins'
+import { type BoxAddresses, registerUpstream, HandleTable, registeredInstances, publishRoutes, type ReceivedHeaders, removeUpstream, requestHeaders, Role, settingsFileText, StandInStore, StandInUpstream, type UpstreamArrival, type UpstreamRun } from '@reelspan/utils.platform-stand-ins'
 import { Agent, request } from 'undici'
 import { REVOCATION_BOUND_MS } from './checkKeys.js'
 import { type Departure, type PlannedStop, type Publication } from './checkBounds.js'
 import { type LimitPeriod } from './checkLimits.js'
 import { type AdvertisedDraining, type RefusalPeriod } from './checkSignals.js'
 import { FaultProxy } from './faultProxy.js'
-import { DisruptionKind, DisruptionLog } from './harmLog.js'
+import { DisruptionKind, DisruptionLog } from './disruptionLog.js'
 import { PORT_OFFSET } from './listenBehindProxy.js'
 import { parseShape } from './requestShape.js'
-import { type TimeInterval } from './stallWatch.js'
+import { type TimeInterval } from './stallDetector.js'
 
 const REELSPAN = fileURLToPath(import.meta.resolve('reelspan').replace('lib/index.js', 'bin/reelspan.js'))
 const LISTEN_BEHIND_PROXY = new URL('./listenBehindProxy.js', import.meta.url).href
@@ -170,7 +170,7 @@
     this.#publishVersion(this.newestVersion)
     const listedReplicas = this.replicas.filter((replica) => replica.listed)
     const listedInstanceNames = new Set(listedReplicas.map(({ instance }) => instance))
-    const storedInstanceNames = new Set(listedInstances(this.store))
+    const storedInstanceNames = new Set(registeredInstances(this.store))
     const staleInstanceNames = [...storedInstanceNames].filter((instance) => !listedInstanceNames.has(instance))
     staleInstanceNames.forEach((instance) => removeUpstream(this.store, instance))
     listedReplicas.filter(({ instance, leaving }) => leaving || !storedInstanceNames.has(instance)).forEach((replica) => this.writeEntry(replica))
@@ -181,7 +181,7 @@
   }
 
   /** Headers of everything that upstreams received. */
-  get received (): ReceivedHead[] {
+  get received (): ReceivedHeaders[] {
     return this.#upstreams.flatMap(({ received }) => received)
   }
 
@@ -272,7 +272,7 @@
   }
 
   writeEntry (replica: UpstreamReplica): void {
-    enterUpstream(this.store, { ...replica, address: replica.proxy.address })
+    registerUpstream(this.store, { ...replica, address: replica.proxy.address })
   }
 
   /** Starts a box that is not running. */
@@ -285,7 +285,7 @@
       SOAK_PROXIED_PORT: String(PORTS.control),
     })
     box.process = boxProcess
-    void boxProcess.waitExit().then((code) => this.#onExited(box, boxProcess, code))
+    void boxProcess.waitForExit().then((code) => this.#onExited(box, boxProcess, code))
   }
 
   async killBox ({ process }: SoakBox): Promise<void> {
@@ -303,7 +303,7 @@
     const endDisruption = this.disruptions.begin(addresses.front, DisruptionKind.Planned)
     process.signal('SIGTERM')
     const graceExceeded = sleep(STOP_GRACE_MS, 'late', { ref: false })
-    if (await Promise.race([process.waitExit(), graceExceeded]) === 'late') {
+    if (await Promise.race([process.waitForExit(), graceExceeded]) === 'late') {
       onGraceExceeded()
       await process.kill()
     }
@@ -415,7 +415,7 @@
       workMs: role === Role.Service ? SERVICE_WORK_MS : EVENT_INTERVAL_MS,
       shapeOf: parseShape,
       handles: this.handles,
-      handleLifeMs: HANDLE_TTL_MS,
+      handleTtlMs: HANDLE_TTL_MS,
       refuses: () => refusesRandomly() || this.refusals.some((refusal) => refusal.instance === instance && refusal.toMs === Number.POSITIVE_INFINITY),
       losesAnswer: withProbability(LOST_ANSWER_SHARE),
       advertises: () => this.#headersOf(instance),
--- a/__utils__/soak/test/checkBounds.ts
+++ b/__utils__/soak/test/checkBounds.ts
@@ -14,7 +14,7 @@
 }
 
 function runOf (overrides: Partial<UpstreamRun> = {}): UpstreamRun {
-  return { id: 'a', instance: INSTANCE, path: '/draft/1', beganAtMs: 10_010, endedAtMs: 11_000, whole: false, answerLost: false, ...overrides }
+  return { id: 'a', instance: INSTANCE, path: '/draft/1', startedAtMs: 10_010, endedAtMs: 11_000, complete: false, answerLost: false, ...overrides }
 }
 
 function arrivalAt (atMs: number) {
--- a/__utils__/soak/test/checkHistory.ts
+++ b/__utils__/soak/test/checkHistory.ts
@@ -7,7 +7,7 @@
 }
 
 function runOf (overrides: Partial<UpstreamRun> = {}): UpstreamRun {
-  return { id: 'a', instance: 'i-1', path: '/fetch/1', beganAtMs: 10, endedAtMs: 90, whole: true, answerLost: false, ...overrides }
+  return { id: 'a', instance: 'i-1', path: '/fetch/1', startedAtMs: 10, endedAtMs: 90, complete: true, answerLost: false, ...overrides }
 }
 
 test('reports nothing for a request that ran once and was answered completely', (t) => {
@@ -33,8 +33,8 @@
   t.regex(checkHistory([attemptOf({ body: 'done b' })], [runOf()])[0], /unexpected body/)
   t.regex(checkHistory([attemptOf({ body: 'don' })], [runOf()])[0], /unexpected body/)
   t.regex(checkHistory([attemptOf()], [])[0], /did not run/)
-  t.deepEqual(checkHistory([attemptOf({ body: 'don', error: 'reset' })], [runOf({ whole: false })]), [], 'a truncated answer on a failed connection is allowed')
-  t.regex(checkHistory([attemptOf({ body: 'dxn', error: 'reset' })], [runOf({ whole: false })])[0], /not part of its answer/)
+  t.deepEqual(checkHistory([attemptOf({ body: 'don', error: 'reset' })], [runOf({ complete: false })]), [], 'a truncated answer on a failed connection is allowed')
+  t.regex(checkHistory([attemptOf({ body: 'dxn', error: 'reset' })], [runOf({ complete: false })])[0], /not part of its answer/)
 })
 
 test('reports a stream with a missing event', (t) => {
--- a/__utils__/soak/test/faultProxy.ts
+++ b/__utils__/soak/test/faultProxy.ts
@@ -1,6 +1,6 @@
 import { once } from 'node:events'
 import { createServer, Socket } from 'node:net'
-import { FaultProxy, PathFault, Silence } from '@reelspan/utils.soak'
+import { FaultProxy, NetworkFault, BlackholeDirection } from '@reelspan/utils.soak'
 import test, { type ExecutionContext } from 'ava'
 
 /** Starts an echo server behind a proxy, and opens a connection to it. */
@@ -54,18 +54,18 @@
 
 test.serial('delivers bytes that a silent path held back in order after the fault', async (t) => {
   const { proxy, client } = await startEcho(t)
-  proxy.fault = PathFault.Silent
+  proxy.fault = NetworkFault.Silent
   client.write('one ')
   client.write('two')
   const answer = once(client, 'data')
-  proxy.fault = PathFault.None
+  proxy.fault = NetworkFault.None
   t.regex(String((await answer)[0]), /^one/)
 })
 
 test.serial('a reset path resets open and new connections', async (t) => {
   const { proxy, client } = await startEcho(t)
   const closed = waitUntilClosed(client)
-  proxy.fault = PathFault.Reset
+  proxy.fault = NetworkFault.Reset
   await closed
   const next = connectTo(proxy)
   await waitUntilClosed(next)
@@ -75,12 +75,12 @@
 test.serial('a stopped proxy leaves no open socket, including that of a connection that is being closed', async (t) => {
   const before = openSockets()
   const { proxy, client } = await startEcho(t)
-  proxy.fault = PathFault.Silent
+  proxy.fault = NetworkFault.Silent
   client.end()
   await once(client, 'finish')
   // By then the end of the stream has reached the proxy over loopback and is held back there.
   for (let turn = 0; turn < 100; turn++) await nextTurn()
-  proxy.fault = PathFault.None
+  proxy.fault = NetworkFault.None
   proxy.stop()
   await waitUntilClosed(client)
   while (openSockets() > before) await nextTurn()
@@ -89,7 +89,7 @@
 
 test.serial('a slow path delays answers', async (t) => {
   const { proxy, client } = await startEcho(t)
-  proxy.fault = PathFault.Slow
+  proxy.fault = NetworkFault.Slow
   const fromMs = performance.now()
   t.is(await answerTo(client, 'one'), 'one')
   t.true(performance.now() - fromMs >= 290, 'delays both directions')
@@ -97,20 +97,20 @@
 
 test.serial('a path that blocks requests holds them back, and answers arrive once the fault is over', async (t) => {
   const { proxy, client } = await startEcho(t)
-  proxy.fault = PathFault.NoRequests
+  proxy.fault = NetworkFault.NoRequests
   const answer = answerTo(client, 'one')
-  proxy.fault = PathFault.NoAnswers
-  proxy.fault = PathFault.None
+  proxy.fault = NetworkFault.NoAnswers
+  proxy.fault = NetworkFault.None
   t.is(await answer, 'one')
 })
 
-for (const direction of Object.values(Silence)) {
+for (const direction of Object.values(BlackholeDirection)) {
   test.serial(`an open connection that is blackholed (${direction}) delivers nothing and stays open, while a new one works, also after the blackholed one is closed`, async (t) => {
     const { proxy, client } = await startEcho(t)
     t.is(await answerTo(client, 'one'), 'one')
     let hasReceived = false
     client.on('data', () => { hasReceived = true })
-    t.is(proxy.silenceOpen(direction), 1)
+    t.is(proxy.blackholeOpenConnections(direction), 1)
     client.write('two')
     const next = connectTo(proxy)
     t.teardown(() => next.destroy())
@@ -122,11 +122,11 @@
   })
 }
 
-for (const direction of Object.values(Silence)) {
+for (const direction of Object.values(BlackholeDirection)) {
   test.serial(`a connection that is blackholed (${direction}) stays open and delivers nothing, and a new one works`, async (t) => {
     const { proxy, client } = await startEcho(t)
     t.is(await answerTo(client, 'one'), 'one')
-    proxy.silenceOpen(direction)
+    proxy.blackholeOpenConnections(direction)
     let receivedCount = 0
     client.on('data', () => { receivedCount++ })
     client.write('two')
--- a/__utils__/stand-ins/src/runStandIn.ts
+++ b/__utils__/stand-ins/src/runStandIn.ts
@@ -5,7 +5,7 @@
 import { createEngineServer } from './createEngineServer.js'
 import { createPlatformServer } from './createPlatformServer.js'
 import { createServiceServer } from './createServiceServer.js'
-import { fetchPrefillResultOverHttp } from './httpExport.js'
+import { fetchPrefillResultOverHttp } from './fetchPrefillResultOverHttp.js'
 import { listenOn } from './listenOn.js'
 
 export enum StandInKind {
--- a/accounts/admission/src/admission.ts
+++ b/accounts/admission/src/admission.ts
@@ -1,6 +1,6 @@
 import { Access, decideAccess } from '@reelspan/accounts.keys'
 import { limitCost } from '@reelspan/accounts.limits'
-import { type ConfigurationProof } from '@reelspan/accounts.proof'
+import { type FreshnessProof } from '@reelspan/accounts.proof'
 import { type AccountSpec, type Configuration, type Named } from '@reelspan/config.resources'
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
 import { type SharedLimiter } from '@reelspan/membership.limits'
@@ -12,10 +12,10 @@
   configuration: () => Configuration
   /** Requests need a key even if no account is declared. */
   required: boolean
-  proof: ConfigurationProof
+  proof: FreshnessProof
   limiter: SharedLimiter
   /** Waits for an update that declares an unknown key. */
-  patience: UnknownKeyWaiter
+  unknownKeyWaiter: UnknownKeyWaiter
   log: Log
   metrics: Metrics
 }
@@ -39,15 +39,15 @@
   /** Overrides the urgency of the route. */
   urgency?: number
   /** Returns the cost to the account. Called when the request has not run and will not run. */
-  giveBack: () => void
+  releaseCost: () => void
 }
 
 /** The part of `Admission` that listeners need. */
-export type BoxAdmission = Pick<Admission, 'admit' | 'usesAccounts' | 'isProved'>
+export type BoxAdmission = Pick<Admission, 'admit' | 'usesAccounts' | 'hasFreshProof'>
 
 /** A box without a fresh proof is usually partitioned. Callers should try another box at once; this one has a proof again within about a second after it reconnects. */
 const STALE_RETRY_AFTER_MS = 1000
-const ANONYMOUS: Admitted = { giveBack: () => {} }
+const ANONYMOUS: Admitted = { releaseCost: () => {} }
 
 /** Admits requests for the accounts that they belong to, before any other resources are spent on them. */
 export class Admission {
@@ -65,7 +65,7 @@
   }
 
   /** Whether the configuration is fresh enough to admit requests with account keys. */
-  get isProved (): boolean {
+  get hasFreshProof (): boolean {
     return !this.usesAccounts || this.#opts.proof.isFresh()
   }
 
@@ -77,7 +77,7 @@
   async admit (request: AdmissionRequest): Promise<Admitted> {
     const decide = () => this.#decide(request)
     const first = decide()
-    const decision = first.access === Access.KeyUnknown ? await this.#opts.patience.waitForDecision(decide, first) : first
+    const decision = first.access === Access.KeyUnknown ? await this.#opts.unknownKeyWaiter.waitForDecision(decide, first) : first
     switch (decision.access) {
       case Access.Anonymous: return ANONYMOUS
       case Access.Granted: return this.#acquireCost(request, decision.account as Named<AccountSpec>)
@@ -95,10 +95,10 @@
   async #acquireCost (request: AdmissionRequest, { name, spec: { urgency, limit } }: Named<AccountSpec>): Promise<Admitted> {
     const { limiter, metrics } = this.#opts
     metrics.count('reelspan_account_requests_total', { account: name })
-    if (!limit) return { account: name, urgency, giveBack: ANONYMOUS.giveBack }
+    if (!limit) return { account: name, urgency, releaseCost: ANONYMOUS.releaseCost }
     const limitedCost = { name, cost: limitCost(limit, request.sizeTokens) }
-    const waitMs = await limiter.take(limitedCost)
-    if (waitMs === 0) return { account: name, urgency, giveBack: () => limiter.giveBack(limitedCost) }
+    const waitMs = await limiter.acquire(limitedCost)
+    if (waitMs === 0) return { account: name, urgency, releaseCost: () => limiter.release(limitedCost) }
     throw this.#recordRefusal(request, 'limit', new ReelspanError(ErrorCode.AccountLimit, `account «${name}» exceeds its limit`, { retryAfterMs: Math.ceil(waitMs) }), { account: name, cost: limitedCost.cost })
   }
 
--- a/accounts/admission/src/index.ts
+++ b/accounts/admission/src/index.ts
@@ -1,3 +1,3 @@
-export { UnknownKeyWaiter as AccessPatience } from './unknownKeyWaiter.js'
+export { UnknownKeyWaiter } from './unknownKeyWaiter.js'
 export { Admission } from './admission.js'
 export type { AdmissionRequest, BoxAdmission, Admitted } from './admission.js'
--- a/accounts/admission/test/unknownKeyWaiter.ts
+++ b/accounts/admission/test/unknownKeyWaiter.ts
@@ -1,4 +1,4 @@
-import { AccessPatience } from '@reelspan/accounts.admission'
+import { UnknownKeyWaiter } from '@reelspan/accounts.admission'
 import { Access, type AccessDecision } from '@reelspan/accounts.keys'
 import { Notifier } from '@reelspan/core.env'
 import { VirtualClock } from '@reelspan/utils.fakes'
@@ -9,7 +9,7 @@
 function createWaiter () {
   const clock = new VirtualClock()
   const updates = new Notifier()
-  return { clock, news: updates, waiter: new AccessPatience({ clock, changed: (signal) => updates.wait(signal) }) }
+  return { clock, news: updates, waiter: new UnknownKeyWaiter({ clock, changed: (signal) => updates.wait(signal) }) }
 }
 
 test('a key that is declared while its request waits is accepted at once', async (t) => {
@@ -73,7 +73,7 @@
     if (++checks > 10) throw new Error('the configuration is read repeatedly')
     return updates.wait(signal)
   }
-  const waiter = new AccessPatience({ clock, changed })
+  const waiter = new UnknownKeyWaiter({ clock, changed })
   const decided = waiter.waitForDecision(() => UNKNOWN, UNKNOWN)
   await Promise.race([clock.advance(500), decided])
   t.is((await Promise.race([decided, Promise.resolve(undefined)]))?.access, Access.KeyUnknown)
--- a/accounts/keys/src/index.ts
+++ b/accounts/keys/src/index.ts
@@ -1,4 +1,4 @@
 export { Access, decideAccess } from './decideAccess.js'
 export type { AccessDecision, AccessInputs } from './decideAccess.js'
 export { keyDigest } from './keyDigest.js'
-export { readBearerKeyDigest as readBearerKey } from './readBearerKeyDigest.js'
+export { readBearerKeyDigest } from './readBearerKeyDigest.js'
--- a/accounts/keys/test/decideAccess.ts
+++ b/accounts/keys/test/decideAccess.ts
@@ -1,4 +1,4 @@
-import { Access, decideAccess, keyDigest, readBearerKey } from '@reelspan/accounts.keys'
+import { Access, decideAccess, keyDigest, readBearerKeyDigest } from '@reelspan/accounts.keys'
 import { checkResources, ResourceKind } from '@reelspan/config.resources'
 import test from 'ava'
 
@@ -42,11 +42,11 @@
 })
 
 test('a key is read from a single bearer header only', (t) => {
-  t.is(readBearerKey([]), undefined)
-  t.is(readBearerKey(['bearer  k1']), keyDigest('k1'))
-  t.is(readBearerKey(['Bearer k1', 'Bearer k2']), '')
-  t.is(readBearerKey(['Basic azE6']), '')
-  t.is(readBearerKey(['Bearer']), '')
+  t.is(readBearerKeyDigest([]), undefined)
+  t.is(readBearerKeyDigest(['bearer  k1']), keyDigest('k1'))
+  t.is(readBearerKeyDigest(['Bearer k1', 'Bearer k2']), '')
+  t.is(readBearerKeyDigest(['Basic azE6']), '')
+  t.is(readBearerKeyDigest(['Bearer']), '')
 })
 
 test('two accounts cannot have the same key', (t) => {
--- a/accounts/limits/src/accountMessages.ts
+++ b/accounts/limits/src/accountMessages.ts
@@ -3,7 +3,7 @@
 
 /** Messages between boxes about the limits of client accounts. */
 export class AccountMessages extends LimitMessages {
-  take ({ name: account, cost }: LimitedCost): PeerMessage {
+  acquire ({ name: account, cost }: LimitedCost): PeerMessage {
     return { type: MessageType.AccountTake, account, cost }
   }
 
@@ -11,7 +11,7 @@
     return answer.type === MessageType.AccountTaken ? answer.waitMs : undefined
   }
 
-  giveBack ({ name: account, cost }: LimitedCost): PeerMessage {
+  release ({ name: account, cost }: LimitedCost): PeerMessage {
     return { type: MessageType.AccountGiveBack, account, cost }
   }
 }
--- a/accounts/limits/src/planAccountBucket.ts
+++ b/accounts/limits/src/planAccountBucket.ts
@@ -1,5 +1,5 @@
 import { type AccountLimit } from '@reelspan/config.resources'
-import { type BucketPlan } from '@reelspan/membership.limits'
+import { type BucketConfig } from '@reelspan/membership.limits'
 
 /** By how much the boxes together may exceed a limit in any window of `windowMs`. */
 export interface LimitTolerance {
@@ -25,12 +25,12 @@
  *
  * @param share the share of the limit that this box grants
  */
-export function planAccountBucket ({ perSecond, burst }: AccountLimit, { windowMs, overage, slack }: LimitTolerance, share: number): BucketPlan {
+export function planAccountBucket ({ perSecond, burst }: AccountLimit, { windowMs, overage, slack }: LimitTolerance, share: number): BucketConfig {
   const windowS = windowMs / MS_PER_SECOND
   const allowance = ACCOUNT_TOLERANCE_SHARE * (overage * (perSecond * windowS + burst) + slack)
   return {
     perSecond: share * (perSecond + allowance / 2 / windowS),
     burst: share * (burst + allowance / 2),
-    firstLevel: INITIAL_FILL_SHARE * share * burst,
+    initialLevel: INITIAL_FILL_SHARE * share * burst,
   }
 }
--- a/accounts/limits/test/__utils__/limitFleet.ts
+++ b/accounts/limits/test/__utils__/limitFleet.ts
@@ -1,8 +1,8 @@
-import { accountBucket, AccountMessages, type LimitTolerance } from '@reelspan/accounts.limits'
+import { planAccountBucket, AccountMessages, type LimitTolerance } from '@reelspan/accounts.limits'
 import { type AccountLimit, LimitUnit } from '@reelspan/config.resources'
 import { type Clock } from '@reelspan/core.env'
 import { type Member, MemberHealth, MessageType, type PeerLink, type PeerMessage } from '@reelspan/core.messages'
-import { EvenShareLimiter, HomeLimiter, LimitBook, LimitBucket, type LimitedCost, SharedLimiter } from '@reelspan/membership.limits'
+import { EvenShareLimiter, CoordinatedLimiter, TokenBucketStore, TokenBucket, type LimitedCost, SharedLimiter } from '@reelspan/membership.limits'
 import { type CountedRun, FakeNetwork, SeededRandom, VirtualClock } from '@reelspan/utils.fakes'
 
 export enum Strategy {
@@ -27,7 +27,7 @@
   missing: number
   /** Own costs that were not broadcast yet. */
   unsent: number
-  bucket: LimitBucket
+  bucket: TokenBucket
   /** Called when the members have changed. */
   onMembers?: () => void
 }
@@ -51,7 +51,7 @@
   readonly #strategy: Strategy
   readonly #network: FakeNetwork
   readonly #boxes: Box[] = []
-  #reference = new LimitBucket(LIMIT.burst, 1000)
+  #reference = new TokenBucket(LIMIT.burst, 1000)
   #starts = 0
 
   constructor ({ boxes, strategy, seed = 1 }: FleetOptions) {
@@ -65,8 +65,8 @@
 
   /** Sends a request of the account to a box. */
   async arrive (cost: number, at = this.random.nextInt(this.#boxes.length)): Promise<void> {
-    if (this.#reference.take(cost, { perSecond: this.limit.perSecond, burst: this.limit.burst }, this.clock.nowMs()) === 0) this.referenceCost += cost
-    const waitMs = await this.#boxes[at].limiter.take({ name: ACCOUNT, cost })
+    if (this.#reference.acquire(cost, { perSecond: this.limit.perSecond, burst: this.limit.burst }, this.clock.nowMs()) === 0) this.referenceCost += cost
+    const waitMs = await this.#boxes[at].limiter.acquire({ name: ACCOUNT, cost })
     if (waitMs === 0) this.runs.push({ atMs: this.clock.nowMs(), cost })
     else this.refused++
   }
@@ -75,7 +75,7 @@
   async cut (count: number): Promise<void> {
     this.heal()
     this.#boxes.forEach((box, i) => { box.side = i < count ? 1 : 0 })
-    this.#boxes.forEach((a) => this.#boxes.filter((b) => b.side !== a.side).forEach((b) => this.#network.cut(a.member.peerAddress, b.member.peerAddress)))
+    this.#boxes.forEach((a) => this.#boxes.filter((b) => b.side !== a.side).forEach((b) => this.#network.block(a.member.peerAddress, b.member.peerAddress)))
     await this.clock.sleep(DETECTION_DELAY_MS)
     this.#updateMembers()
   }
@@ -106,20 +106,20 @@
     const peerAddress = `10.0.${i >> 8}.${i & 255}:1`
     const { clock, link } = this.#network.addNode(peerAddress)
     const member: Member = { name: `b${i}`, availabilityZone: 'z', peerAddress, callerAddress: '', incarnation: `${this.#starts++}`.padStart(16, '0'), version: 0, health: MemberHealth.Alive, leaving: false }
-    const box: Box = { member, side: 0, visible: [member], missing: 0, unsent: 0, limiter: undefined as unknown as SharedLimiter, bucket: new LimitBucket(this.limit.burst, clock.nowMs()) }
+    const box: Box = { member, side: 0, visible: [member], missing: 0, unsent: 0, limiter: undefined as unknown as SharedLimiter, bucket: new TokenBucket(this.limit.burst, clock.nowMs()) }
     box.limiter = this.#createLimiter(box, clock, this.#countMessages(link))
     return box
   }
 
   #createLimiter (box: Box, clock: Clock, link: PeerLink): SharedLimiter {
     const knownBoxes = () => box.visible.length + box.missing
-    const localLimiter = new EvenShareLimiter({ clock, planOf: () => accountBucket(this.limit, TOLERANCE, 1 / knownBoxes()) })
+    const localLimiter = new EvenShareLimiter({ clock, configOf: () => planAccountBucket(this.limit, TOLERANCE, 1 / knownBoxes()) })
     if (this.#strategy === Strategy.EvenShares) return localLimiter
     if (this.#strategy === Strategy.BroadcastTotals) return new BroadcastTotalsLimiter(box, clock, () => this.limit)
-    const buckets = new LimitBook({ clock, planOf: () => accountBucket(this.limit, TOLERANCE, box.visible.length / knownBoxes()) })
+    const buckets = new TokenBucketStore({ clock, configOf: () => planAccountBucket(this.limit, TOLERANCE, box.visible.length / knownBoxes()) })
     link.serve({ onCall: async (message) => answer(buckets, message), onStream: async function * () {} })
-    const limiter = new HomeLimiter({ clock, link, messages: new AccountMessages(), book: buckets, alone: localLimiter, members: () => box.visible, self: () => box.member })
-    box.onMembers = () => buckets.retain((account) => limiter.isHome(account))
+    const limiter = new CoordinatedLimiter({ clock, link, messages: new AccountMessages(), buckets, local: localLimiter, members: () => box.visible, self: () => box.member })
+    box.onMembers = () => buckets.retain((account) => limiter.isCoordinator(account))
     return limiter
   }
 
@@ -165,20 +165,20 @@
     this.#limit = limit
   }
 
-  async take ({ cost }: LimitedCost): Promise<number> {
+  async acquire ({ cost }: LimitedCost): Promise<number> {
     const { visible: sees, missing, bucket } = this.#box
     const part = sees.length / (sees.length + missing)
     const { perSecond, burst } = this.#limit()
-    const waitMs = bucket.take(cost, { perSecond: part * perSecond, burst: part * burst }, this.#clock.nowMs())
+    const waitMs = bucket.acquire(cost, { perSecond: part * perSecond, burst: part * burst }, this.#clock.nowMs())
     if (waitMs === 0) this.#box.unsent += cost
     return waitMs
   }
 
-  giveBack (): void {}
+  release (): void {}
 }
 
-function answer (buckets: LimitBook, message: PeerMessage): PeerMessage {
-  if (message.type === MessageType.AccountTake) return { type: MessageType.AccountTaken, waitMs: buckets.take(message.account, message.cost) }
-  if (message.type === MessageType.AccountGiveBack) buckets.giveBack(message.account, message.cost)
+function answer (buckets: TokenBucketStore, message: PeerMessage): PeerMessage {
+  if (message.type === MessageType.AccountTake) return { type: MessageType.AccountTaken, waitMs: buckets.acquire(message.account, message.cost) }
+  if (message.type === MessageType.AccountGiveBack) buckets.release(message.account, message.cost)
   return { type: MessageType.Done }
 }
--- a/accounts/limits/test/limits.ts
+++ b/accounts/limits/test/limits.ts
@@ -1,4 +1,4 @@
-import { fullestWindow, type LimitRule } from '@reelspan/utils.fakes'
+import { maxWindowUsage, type LimitRule } from '@reelspan/utils.fakes'
 import test from 'ava'
 import fc from 'fast-check'
 import { LIMIT, LimitFleet, TOLERANCE, Strategy } from './__utils__/limitFleet.js'
@@ -31,7 +31,7 @@
   await fleet.clock.run(Promise.all([runLoad(fleet, load), faults(fleet)]), 600_000)
   const asked = fleet.runs.length + fleet.refused
   return {
-    fullest: Number(fullestWindow(fleet.runs, RULE).toFixed(3)),
+    fullest: Number(maxWindowUsage(fleet.runs, RULE).toFixed(3)),
     refusedShare: Number((fleet.refused / asked).toFixed(4)),
     shareOfReference: Number((fleet.runs.reduce((sum, { cost }) => sum + cost, 0) / fleet.referenceCost).toFixed(4)),
     messagesPerRequest: Number((fleet.messages / asked).toFixed(2)),
@@ -86,7 +86,7 @@
   await fleet.clock.run(Promise.all([runLoad(fleet, { load: 1, seconds: 25 }), lowered]), 600_000)
   const since = fleet.clock.nowMs() - 12_000
   const late = fleet.runs.filter(({ atMs }) => atMs >= since)
-  t.true(fullestWindow(late, { ...RULE, perSecond: 0.1 * RULE.perSecond, burst: 0.1 * RULE.burst }) <= 1)
+  t.true(maxWindowUsage(late, { ...RULE, perSecond: 0.1 * RULE.perSecond, burst: 0.1 * RULE.burst }) <= 1)
 })
 
 enum Step {
@@ -114,7 +114,7 @@
       }
     }
     await fleet.clock.run(Promise.all([runLoad(fleet, { load: 3, seconds: 3 * steps.length + 8 }), faults()]), 600_000)
-    return fullestWindow(fleet.runs, RULE) <= 1
+    return maxWindowUsage(fleet.runs, RULE) <= 1
   }), { numRuns: 40, seed: 7 })
   t.pass()
 })
--- a/accounts/proof/src/freshnessProof.ts
+++ b/accounts/proof/src/freshnessProof.ts
@@ -11,7 +11,7 @@
   /** Revision of the configuration in force here. */
   revision: () => number
   /** Maximum age of a valid proof. If undefined, no proof is required. */
-  boundMs?: number
+  maxAgeMs?: number
 }
 
 /** Maximum number of stored proofs for revisions that are not in force here yet. Such revisions come into force within seconds. */
@@ -33,8 +33,8 @@
   }
 
   /** Whether a proof is required at all. */
-  get isNeeded (): boolean {
-    return this.#opts.boundMs !== undefined
+  get isRequired (): boolean {
+    return this.#opts.maxAgeMs !== undefined
   }
 
   /** Age of the proof; infinite if there is none. */
@@ -44,30 +44,30 @@
 
   /** Whether the configuration in force here is recent enough. */
   isFresh (): boolean {
-    const { boundMs: maxAgeMs } = this.#opts
+    const { maxAgeMs } = this.#opts
     return maxAgeMs === undefined || this.ageMs < maxAgeMs
   }
 
   /** The proof that this box sends to peers on request. */
-  get told (): AdvertisedProof | undefined {
+  get advertised (): AdvertisedProof | undefined {
     const { ageMs } = this
-    return this.isNeeded && Number.isFinite(ageMs) ? { revision: this.#opts.revision(), ageMs } : undefined
+    return this.isRequired && Number.isFinite(ageMs) ? { revision: this.#opts.revision(), ageMs } : undefined
   }
 
   /** Records that the platform reported this revision as the newest. The age counts from the time of the request, since the answer may have been delayed. */
-  noteRead (revision: number, askedAtMs: number): void {
+  recordRead (revision: number, askedAtMs: number): void {
     if (askedAtMs < this.#validFromMs) return
     this.#provedAtMs.set(revision, Math.max(askedAtMs, this.#provedAtMs.get(revision) ?? askedAtMs))
     this.#discardUnused()
   }
 
   /** Records the proof of a peer that answered a request sent at `askedAtMs`. The age counts from the time of the request, so it is never underestimated. */
-  hear ({ revision, ageMs }: AdvertisedProof, askedAtMs: number): void {
-    this.noteRead(revision, askedAtMs - ageMs)
+  receive ({ revision, ageMs }: AdvertisedProof, askedAtMs: number): void {
+    this.recordRead(revision, askedAtMs - ageMs)
   }
 
   /** Discards all proofs. Called when this box's clock may have stopped for a time: earlier proofs may be older than they seem. */
-  forget (): void {
+  invalidate (): void {
     this.#validFromMs = this.#opts.clock.nowMs()
     this.#provedAtMs.clear()
   }
--- a/accounts/proof/src/index.ts
+++ b/accounts/proof/src/index.ts
@@ -1,5 +1,5 @@
-export { FreshnessProof as ConfigurationProof } from './freshnessProof.js'
-export type { AdvertisedProof as ToldProof } from './freshnessProof.js'
+export { FreshnessProof } from './freshnessProof.js'
+export type { AdvertisedProof } from './freshnessProof.js'
 export { decideRenewal, ProofRole } from './decideRenewal.js'
 export type { Renewal } from './decideRenewal.js'
-export { ProofRenewer as ProofKeeper } from './proofRenewer.js'
+export { ProofRenewer } from './proofRenewer.js'
--- a/accounts/proof/src/proofRenewer.ts
+++ b/accounts/proof/src/proofRenewer.ts
@@ -6,7 +6,7 @@
   clock: Clock
   random: Random
   proof: FreshnessProof
-  boundMs: number
+  maxAgeMs: number
   /** Whether any request needs the proof now. */
   isInUse: () => boolean
   role: () => ProofRole
@@ -39,7 +39,7 @@
   }
 
   start (): void {
-    const { clock, random, boundMs: maxAgeMs } = this.#opts
+    const { clock, random, maxAgeMs } = this.#opts
     const periodMs = maxAgeMs / CHECKS_PER_MAX_AGE
     // Spreads the requests of boxes that start at the same time.
     this.#tasks.run(async () => {
@@ -53,7 +53,7 @@
   }
 
   async #check (): Promise<void> {
-    const { proof, boundMs: maxAgeMs, isInUse, role } = this.#opts
+    const { proof, maxAgeMs, isInUse, role } = this.#opts
     if (!isInUse()) return
     this.#reportChange()
     const { askPlatform, askPeer } = decideRenewal(proof.ageMs, maxAgeMs, role())
@@ -68,7 +68,7 @@
   }
 
   async #askPlatform (): Promise<void> {
-    const { clock, random, boundMs: maxAgeMs, askPlatform } = this.#opts
+    const { clock, random, maxAgeMs, askPlatform } = this.#opts
     if (clock.nowMs() < this.#backoffUntilMs) return
     try {
       await askPlatform()
--- a/accounts/proof/test/proofRenewer.ts
+++ b/accounts/proof/test/proofRenewer.ts
@@ -1,4 +1,4 @@
-import { ConfigurationProof, ProofKeeper, ProofRole } from '@reelspan/accounts.proof'
+import { FreshnessProof, ProofRenewer, ProofRole } from '@reelspan/accounts.proof'
 import { SeededRandom, VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
@@ -23,27 +23,27 @@
   const clock = new VirtualClock()
   const random = new SeededRandom(5)
   const platform = { calls: 0 }
-  const proofs = Array.from({ length: boxes }, () => new ConfigurationProof({ clock, revision: () => 1, boundMs: BOUND_MS }))
+  const proofs = Array.from({ length: boxes }, () => new FreshnessProof({ clock, revision: () => 1, maxAgeMs: BOUND_MS }))
   const ask = async (from: number, to: number) => {
     const askedAtMs = clock.nowMs()
     await clock.sleep(ONE_WAY_MS)
-    const { told } = proofs[to]
+    const { advertised } = proofs[to]
     await clock.sleep(ONE_WAY_MS)
-    if (told) proofs[from].hear(told, askedAtMs)
+    if (advertised) proofs[from].receive(advertised, askedAtMs)
   }
   const askPlatform = async (box: number) => {
     platform.calls++
     const askedAtMs = clock.nowMs()
     await clock.sleep(4)
     if (isRejected(box)) throw new Error('rejected')
-    proofs[box].noteRead(1, askedAtMs)
+    proofs[box].recordRead(1, askedAtMs)
   }
   const step = (nth: number) => Math.round((boxes / 2) ** (nth / (WATCHED - 1)))
-  const renewers = proofs.map((proof, box) => new ProofKeeper({
+  const renewers = proofs.map((proof, box) => new ProofRenewer({
     clock,
     random,
     proof,
-    boundMs: BOUND_MS,
+    maxAgeMs: BOUND_MS,
     isInUse: () => true,
     role: () => roleOf(box),
     askPlatform: () => askPlatform(box),
@@ -102,7 +102,7 @@
 
 test('an isolated box has no valid proof after the maximum age, and asks the platform at most a few times per second', async (t) => {
   const fleet = startFleet({ boxes: 1, isRejected: () => true })
-  fleet.proofs[0].noteRead(1, fleet.clock.nowMs())
+  fleet.proofs[0].recordRead(1, fleet.clock.nowMs())
   await fleet.clock.advance(BOUND_MS - 1)
   t.true(fleet.proofs[0].isFresh())
   await fleet.clock.advance(1)
--- a/box/runtime/src/box.ts
+++ b/box/runtime/src/box.ts
@@ -75,7 +75,7 @@
     registerBoxMetrics(this.#parts)
     Object.values(followers).forEach((follower) => follower.start())
     prober.start()
-    this.#parts.proofKeeper?.start()
+    this.#parts.proofRenewer?.start()
     this.#reconciler.start()
     log.info(LogEvent.Started, { incarnation: view.self.incarnation, revision: this.#parts.declarations.revision })
   }
@@ -113,11 +113,11 @@
    *
    * @returns whether the machine was suspended, rather than its wall clock set
    */
-  async wasSuspended (durationMs: number): Promise<boolean> {
-    const { log, pauseDetector, prober, proof } = this.#parts
-    pauseDetector.note(durationMs)
-    proof.forget()
-    const suspended = await prober.hasLostTime(durationMs)
+  async handleClockJump (durationMs: number): Promise<boolean> {
+    const { log, pauseDetector, prober, freshnessProof } = this.#parts
+    pauseDetector.record(durationMs)
+    freshnessProof.invalidate()
+    const suspended = await prober.wasSuspendedFor(durationMs)
     log.warn(LogEvent.ClockLeapt, { durationMs: Math.round(durationMs), suspended })
     return suspended
   }
@@ -150,7 +150,7 @@
   }
 
   /** Name of the upstream listed at an address. The name identifies one start of the upstream's process. */
-  upstreamStartAt (address: string): string | undefined {
+  upstreamNameAt (address: string): string | undefined {
     return this.#parts.upstreams.at(address)?.name
   }
 
@@ -172,7 +172,7 @@
 
   /** Whether this box, as it sees the members, is the coordinator of the permits of a rate-limited upstream. */
   coordinatesPermitsOf (upstream: string): boolean {
-    return this.#parts.permitLimiter.isHome(upstream)
+    return this.#parts.permitLimiter.isCoordinator(upstream)
   }
 
   /** How many connections this box may open to the upstream at an address, or undefined if its pool declares no maximum. */
@@ -205,16 +205,16 @@
 
   /** State of the whole process, for the debug endpoint. */
   describe () {
-    const { view, declarations, fleetList, fleet, records, owner, relay, shardManagers, prober, placer, runHistory, quarantine, upstreamStates, backoffs, proof, settings } = this.#parts
+    const { view, declarations, fleetList, fleet, records, owner, relay, shardManagers, prober, placer, runHistory, quarantine, upstreamStates, backoffs, freshnessProof, settings } = this.#parts
     return {
       self: view.self,
       ready: this.ready,
-      proofAgeMs: Number.isFinite(proof.ageMs) ? Math.round(proof.ageMs) : undefined,
+      proofAgeMs: Number.isFinite(freshnessProof.ageMs) ? Math.round(freshnessProof.ageMs) : undefined,
       stopping: this.#stopping,
       declarations: { revision: declarations.revision, resources: declarations.value.resources.length, rejected: declarations.rejected },
       fleet: { ...storeRevisionOf(fleetList.revision), boxes: fleet.value.boxes.length, upstreams: fleet.value.upstreams.length, keptThoughMissing: fleet.missing },
       members: view.all().map((member) => ({ ...member, requestsInFlight: prober.loadOf(member.incarnation) })),
-      records: { count: records.size, bytes: records.bytes, maxBytes: settings.requests.recordBytes, taken: records.taken() },
+      records: { count: records.size, bytes: records.bytes, maxBytes: settings.requests.recordBytes, taken: records.predecessors() },
       owner: owner.describe(),
       relay: relay?.describe(),
       placements: placer instanceof SchedulerPlacer ? placer.liveCount : undefined,
@@ -231,7 +231,7 @@
     const { clock, log, owner, relay, settings: { requests: { stopWithinMs } } } = this.#parts
     this.#stopping = true
     log.info(LogEvent.Stopping, { requestsInFlight: this.#callersBeingServed })
-    if (stopWithinMs !== undefined) [owner, relay].forEach((part) => part?.endWithin(stopWithinMs))
+    if (stopWithinMs !== undefined) [owner, relay].forEach((part) => part?.scheduleStop(stopWithinMs))
     const stop = plannedStop({ ...this.#stopParts(), waitForCallers: () => this.#waitForCallers() })
     await (stopWithinMs === undefined ? stop : raceTimeout(clock, stop, stopWithinMs))
     await this.stop()
@@ -239,11 +239,11 @@
 
   /** Stops immediately. Each running request ends with its verdict. */
   async stop (): Promise<void> {
-    const { prober, proofKeeper, reportFlood, followers, shardManagers, owner, relay, runGossip, upstreamStateGossip, link, log } = this.#parts
+    const { prober, proofRenewer, reportBroadcaster, followers, shardManagers, owner, relay, runGossip, upstreamStateGossip, link, log } = this.#parts
     this.#stopping = true
     const requestsCut = this.#callersBeingServed
     await Promise.all([owner.stop(), relay?.stop()])
-    await Promise.all([this.#tasks.stop(), prober.stop(), proofKeeper?.stop(), reportFlood.stop(), runGossip.stop(), upstreamStateGossip.stop(), shardManagers.stop(), ...Object.values(followers).map((follower) => follower.stop()), link.close()])
+    await Promise.all([this.#tasks.stop(), prober.stop(), proofRenewer?.stop(), reportBroadcaster.stop(), runGossip.stop(), upstreamStateGossip.stop(), shardManagers.stop(), ...Object.values(followers).map((follower) => follower.stop()), link.close()])
     log.info(LogEvent.Stopped, { requestsCut })
   }
 
@@ -264,7 +264,7 @@
    */
   #renewIncarnation (): void {
     const { view, log, clock, random, owner } = this.#parts
-    view.takeIncarnation(generateIncarnation(random), clock.nowMs())
+    view.replaceIncarnation(generateIncarnation(random), clock.nowMs())
     owner.endAll(ErrorCode.OwnerGone, 'this box was declared gone')
     log.warn(LogEvent.IncarnationRenewed, { incarnation: view.self.incarnation })
   }
--- a/box/runtime/src/boxParts.ts
+++ b/box/runtime/src/boxParts.ts
@@ -1,21 +1,21 @@
 import { type Admission } from '@reelspan/accounts.admission'
-import { type ConfigurationProof, type ProofKeeper } from '@reelspan/accounts.proof'
-import { type FleetList, type GuardedFleet } from '@reelspan/config.fleet'
+import { type FreshnessProof, type ProofRenewer } from '@reelspan/accounts.proof'
+import { type FleetList, type ReconciledFleet } from '@reelspan/config.fleet'
 import { type Configuration } from '@reelspan/config.resources'
 import { type ConfigFollower, type ConfigStore } from '@reelspan/config.store'
-import { type PauseWatch } from '@reelspan/core.env'
+import { type PauseDetector } from '@reelspan/core.env'
 import { type Collection, type UpstreamStateUpdate, type RunEvent } from '@reelspan/core.messages'
-import { type HomeLimiter, type LimitBook, type SharedLimiter } from '@reelspan/membership.limits'
-import { type Flood, type Gossip, type Prober } from '@reelspan/membership.prober'
+import { type CoordinatedLimiter, type TokenBucketStore, type SharedLimiter } from '@reelspan/membership.limits'
+import { type Broadcaster, type Gossip, type Prober } from '@reelspan/membership.prober'
 import { type MembershipView } from '@reelspan/membership.view'
 import { type LookupAnswer } from '@reelspan/request.lookup'
 import { type Owner } from '@reelspan/request.owner'
-import { type BrokenRuns, type Quarantine, type RunHistory } from '@reelspan/request.quarantine'
+import { type InterruptedRuns, type Quarantine, type RunHistory } from '@reelspan/request.quarantine'
 import { type RecordStore } from '@reelspan/request.records'
 import { type Relay } from '@reelspan/request.relay'
 import { type Placer } from '@reelspan/scheduling.placer'
-import { type UpstreamReport, type UpstreamReports } from '@reelspan/upstream.health'
-import { type ReturnTimes, type SendPermits } from '@reelspan/upstream.limits'
+import { type UpstreamFailureReport, type UpstreamFailureReports } from '@reelspan/upstream.health'
+import { type RetryTimes, type SendPermits } from '@reelspan/upstream.limits'
 import { type Backoffs, type SignalObserver, type UpstreamStates } from '@reelspan/upstream.signals'
 import { type CachedStateAges } from './cachedStateAges.js'
 import { type Box } from './box.js'
@@ -33,7 +33,7 @@
 /** The parts of a box, as registered in its container. */
 export interface BoxParts extends BoxEnvironment {
   /** Detects that the process was suspended or the event loop was blocked. */
-  pauseDetector: PauseWatch
+  pauseDetector: PauseDetector
   /** Logs failed calls that their callers recover from, and background tasks that failed unexpectedly. */
   failures: FailureLog
   view: MembershipView
@@ -41,7 +41,7 @@
   /** The platform's fleet list as last read. */
   fleetList: ConfigStore<FleetList>
   /** The list that this box acts on: the platform's list plus entries that may only have expired during a platform outage. */
-  fleet: GuardedFleet
+  fleet: ReconciledFleet
   /** Whether this box watches the platform on behalf of its availability zone. */
   watcherRole: WatcherRole
   platformContact: PlatformContactTracker
@@ -50,26 +50,26 @@
   connectionShares: ConnectionShares
   followers: Record<Collection, ConfigFollower>
   /** Freshness proof of the declarations in force, required for requests with an account key. */
-  proof: ConfigurationProof
-  proofKeeper?: ProofKeeper
+  freshnessProof: FreshnessProof
+  proofRenewer?: ProofRenewer
   /** Token buckets of the client accounts that this box coordinates. */
-  accountBuckets: LimitBook
+  accountBuckets: TokenBucketStore
   limiter: SharedLimiter
   admission: Admission
   prober: Prober
-  brokenRuns: BrokenRuns
-  upstreamReports: UpstreamReports
-  reportFlood: Flood<UpstreamReport>
+  interruptedRuns: InterruptedRuns
+  upstreamReports: UpstreamFailureReports
+  reportBroadcaster: Broadcaster<UpstreamFailureReport>
   /** Rate limits and draining that upstreams advertise in their responses, to this box or any other. */
   upstreamStates: UpstreamStates
   backoffs: Backoffs
   signals: SignalObserver
   upstreamStateGossip: Gossip<UpstreamStateUpdate>
   /** Token buckets of the upstreams whose permits this box coordinates. */
-  permitBuckets: LimitBook
-  permitLimiter: HomeLimiter
+  permitBuckets: TokenBucketStore
+  permitLimiter: CoordinatedLimiter
   permits: SendPermits
-  retryTimes: ReturnTimes
+  retryTimes: RetryTimes
   /** Attempts during which an upstream process ended, at any box. */
   runHistory: RunHistory
   runGossip: Gossip<RunEvent>
--- a/box/runtime/src/createAccountParts.ts
+++ b/box/runtime/src/createAccountParts.ts
@@ -1,8 +1,8 @@
-import { AccessPatience, Admission } from '@reelspan/accounts.admission'
-import { accountBucket, AccountMessages, type LimitTolerance } from '@reelspan/accounts.limits'
-import { ConfigurationProof, ProofKeeper } from '@reelspan/accounts.proof'
+import { UnknownKeyWaiter, Admission } from '@reelspan/accounts.admission'
+import { planAccountBucket, AccountMessages, type LimitTolerance } from '@reelspan/accounts.limits'
+import { FreshnessProof, ProofRenewer } from '@reelspan/accounts.proof'
 import { Collection } from '@reelspan/core.messages'
-import { type BucketPlan, EvenShareLimiter, HomeLimiter, LimitBook } from '@reelspan/membership.limits'
+import { type BucketConfig, EvenShareLimiter, CoordinatedLimiter, TokenBucketStore } from '@reelspan/membership.limits'
 import { LogEvent } from '@reelspan/telemetry.log'
 import { type BoxParts } from './boxParts.js'
 import { reachableShare, singleBoxShare } from './limitShares.js'
@@ -17,25 +17,25 @@
 }
 
 /** Freshness proof of the declarations in force, required for requests with an account key. */
-export function createFreshnessProof (parts: BoxParts): ConfigurationProof {
+export function createFreshnessProof (parts: BoxParts): FreshnessProof {
   const { clock, declarations } = parts
-  return new ConfigurationProof({ clock, revision: () => declarations.revision, boundMs: maxFreshnessProofAgeMs(parts) })
+  return new FreshnessProof({ clock, revision: () => declarations.revision, maxAgeMs: maxFreshnessProofAgeMs(parts) })
 }
 
 /** Renews the freshness proof before it expires; undefined if the settings require no proof. */
-export function createProofRenewer (parts: BoxParts): ProofKeeper | undefined {
-  const { clock, random, proof, declarations, followers, failures, log, prober, settings, view, watcherRole } = parts
-  const boundMs = maxFreshnessProofAgeMs(parts)
-  if (boundMs === undefined) return undefined
-  return new ProofKeeper({
+export function createProofRenewer (parts: BoxParts): ProofRenewer | undefined {
+  const { clock, random, freshnessProof, declarations, followers, failures, log, prober, settings, view, watcherRole } = parts
+  const maxAgeMs = maxFreshnessProofAgeMs(parts)
+  if (maxAgeMs === undefined) return undefined
+  return new ProofRenewer({
     clock,
     random,
-    proof,
-    boundMs,
+    proof: freshnessProof,
+    maxAgeMs,
     isInUse: () => settings.accounts.required || declarations.value.accounts().length > 0,
     role: () => watcherRole.proofRole(),
     askPlatform: () => followers[Collection.Declarations].confirm(),
-    askPeer: () => prober.askAnyone(view.takingWork()),
+    askPeer: () => prober.contactAny(view.takingWork()),
     onChange: (holds, ageMs) => {
       const fields = { holds, revision: declarations.revision, ageMs: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined }
       if (holds) log.info(LogEvent.AccountsProofChanged, fields)
@@ -46,28 +46,28 @@
 }
 
 /** Token buckets of the client accounts that this box coordinates. */
-export function createAccountBuckets (parts: BoxParts): LimitBook {
+export function createAccountBuckets (parts: BoxParts): TokenBucketStore {
   const { clock, view } = parts
-  return new LimitBook({ clock, planOf: (account) => configOf(parts, account, reachableShare(view)) })
+  return new TokenBucketStore({ clock, configOf: (account) => configOf(parts, account, reachableShare(view)) })
 }
 
-export function createLimiter (parts: BoxParts): HomeLimiter {
+export function createLimiter (parts: BoxParts): CoordinatedLimiter {
   const { clock, link, accountBuckets, view } = parts
-  const localLimiter = new EvenShareLimiter({ clock, planOf: (account) => configOf(parts, account, singleBoxShare(view)) })
-  const limiter = new HomeLimiter({ clock, link, messages: new AccountMessages(), book: accountBuckets, alone: localLimiter, members: () => view.takingWork(), self: () => view.self })
-  view.onChange(() => accountBuckets.retain((account) => limiter.isHome(account)))
+  const localLimiter = new EvenShareLimiter({ clock, configOf: (account) => configOf(parts, account, singleBoxShare(view)) })
+  const limiter = new CoordinatedLimiter({ clock, link, messages: new AccountMessages(), buckets: accountBuckets, local: localLimiter, members: () => view.takingWork(), self: () => view.self })
+  view.onChange(() => accountBuckets.retain((account) => limiter.isCoordinator(account)))
   return limiter
 }
 
 export function createAdmission (parts: BoxParts): Admission {
-  const { clock, declarations, limiter, log, metrics, proof, settings } = parts
-  const unknownKeyWaiter = new AccessPatience({ clock, changed: (signal) => declarations.waitAbove(declarations.revision, signal) })
-  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof, limiter, patience: unknownKeyWaiter, log, metrics })
+  const { clock, declarations, limiter, log, metrics, freshnessProof, settings } = parts
+  const unknownKeyWaiter = new UnknownKeyWaiter({ clock, changed: (signal) => declarations.waitAbove(declarations.revision, signal) })
+  return new Admission({ configuration: () => declarations.value, required: settings.accounts.required, proof: freshnessProof, limiter, unknownKeyWaiter, log, metrics })
 }
 
-function configOf (parts: BoxParts, account: string, share: number): BucketPlan | undefined {
+function configOf (parts: BoxParts, account: string, share: number): BucketConfig | undefined {
   const limit = parts.declarations.value.account(account)?.limit
-  return limit && accountBucket(limit, toleranceOf(parts), share)
+  return limit && planAccountBucket(limit, toleranceOf(parts), share)
 }
 
 function toleranceOf ({ settings: { accounts } }: BoxParts): LimitTolerance {
--- a/box/runtime/src/createBox.ts
+++ b/box/runtime/src/createBox.ts
@@ -1,11 +1,11 @@
-import { PauseWatch } from '@reelspan/core.env'
+import { PauseDetector } from '@reelspan/core.env'
 import { Collection, type Member, MemberHealth, type PeerLink } from '@reelspan/core.messages'
 import { Prober } from '@reelspan/membership.prober'
 import { MembershipView } from '@reelspan/membership.view'
 import { answerLookup } from '@reelspan/request.lookup'
 import { RunHistory } from '@reelspan/request.quarantine'
 import { type EngineClient } from '@reelspan/upstream.client'
-import { UpstreamReports } from '@reelspan/upstream.health'
+import { UpstreamFailureReports } from '@reelspan/upstream.health'
 import { asFunction, asValue, createContainer, InjectionMode } from 'awilix'
 import { CachedStateAges } from './cachedStateAges.js'
 import { Box } from './box.js'
@@ -16,7 +16,7 @@
 import { createPlatformContact, createDeclarations, createFleet, createFleetList, createFollowers, createWatcherRole } from './createConfigParts.js'
 import { createPermitBuckets, createPermitLimiter, createPermits, createRetryTimes } from './createLimitParts.js'
 import { createPlacer } from './createPlacer.js'
-import { createBrokenRuns, createOwner, createQuarantine, createRecords, createRelay, createReportBroadcast, createRunGossip, recordTtlMs } from './createRequestParts.js'
+import { createInterruptedRuns, createOwner, createQuarantine, createRecords, createRelay, createReportBroadcast, createRunGossip, recordTtlMs } from './createRequestParts.js'
 import { createBackoffs, createSignalObserver, createUpstreamStateGossip, createUpstreamStates } from './createSignalParts.js'
 import { generateIncarnation } from './generateIncarnation.js'
 import { FailureLog } from './failureLog.js'
@@ -33,7 +33,7 @@
   const container = createContainer<BoxParts>({ injectionMode: InjectionMode.PROXY, strict: true })
   Object.entries({ relayClient: undefined, ...environment }).forEach(([name, value]) => container.register(name, asValue(value)))
   container.register({
-    pauseDetector: asFunction((parts: BoxParts) => new PauseWatch(parts)).singleton(),
+    pauseDetector: asFunction((parts: BoxParts) => new PauseDetector(parts)).singleton(),
     failures: asFunction((parts: BoxParts) => new FailureLog(parts)).singleton(),
     link: asFunction((parts: BoxParts) => createLink(environment.link, parts)).singleton(),
     engines: asFunction((parts: BoxParts) => createEngines(environment.engines, parts)).singleton(),
@@ -46,15 +46,15 @@
     upstreams: asFunction((parts: BoxParts) => new UpstreamsByAddress(parts)).singleton(),
     connectionShares: asFunction(createConnectionShares).singleton(),
     followers: asFunction(createFollowers).singleton(),
-    proof: asFunction(createFreshnessProof).singleton(),
-    proofKeeper: asFunction(createProofRenewer).singleton(),
+    freshnessProof: asFunction(createFreshnessProof).singleton(),
+    proofRenewer: asFunction(createProofRenewer).singleton(),
     accountBuckets: asFunction(createAccountBuckets).singleton(),
     limiter: asFunction(createLimiter).singleton(),
     admission: asFunction(createAdmission).singleton(),
     prober: asFunction(createProber).singleton(),
-    brokenRuns: asFunction(createBrokenRuns).singleton(),
-    upstreamReports: asFunction((parts: BoxParts) => new UpstreamReports(parts)).singleton(),
-    reportFlood: asFunction(createReportBroadcast).singleton(),
+    interruptedRuns: asFunction(createInterruptedRuns).singleton(),
+    upstreamReports: asFunction((parts: BoxParts) => new UpstreamFailureReports(parts)).singleton(),
+    reportBroadcaster: asFunction(createReportBroadcast).singleton(),
     upstreamStates: asFunction(createUpstreamStates).singleton(),
     backoffs: asFunction(createBackoffs).singleton(),
     signals: asFunction(createSignalObserver).singleton(),
@@ -103,7 +103,7 @@
     leaving: false,
     room: box.room,
   }
-  return new MembershipView({ self, goneMemoryMs: recordTtlMs(requests) })
+  return new MembershipView({ self, goneRetentionMs: recordTtlMs(requests) })
 }
 
 function createProber (parts: BoxParts): Prober {
@@ -115,14 +115,14 @@
     listedAddresses: () => listedPeerAddresses(parts),
     revisions: () => ({ [Collection.Declarations]: declarations.revision, [Collection.Fleet]: fleetList.revision }),
     inFlight: () => parts.owner.inFlight + (parts.relay?.inFlight ?? 0),
-    platformAnswering: () => parts.platformContact.answering,
-    onPlatformAnswering: (report) => parts.platformContact.receivePeerReport(report),
-    proof: () => parts.proof.told,
-    onPeerProof: (report, askedAtMs) => parts.proof.hear(report, askedAtMs),
-    newsDigests: () => ({ runsDigest: parts.runHistory.digest || undefined, upstreamStatesDigest: parts.upstreamStates.digest || undefined }),
-    onPeerNewsDigests: (address, { runsDigest, upstreamStatesDigest }) => {
-      parts.runGossip.hear(address, runsDigest)
-      parts.upstreamStateGossip.hear(address, upstreamStatesDigest)
+    platformAvailability: () => parts.platformContact.answering,
+    onPlatformAvailability: (report) => parts.platformContact.receivePeerReport(report),
+    proof: () => parts.freshnessProof.advertised,
+    onPeerProof: (report, askedAtMs) => parts.freshnessProof.receive(report, askedAtMs),
+    updateDigests: () => ({ runsDigest: parts.runHistory.digest || undefined, upstreamStatesDigest: parts.upstreamStates.digest || undefined }),
+    onPeerUpdateDigests: (address, { runsDigest, upstreamStatesDigest }) => {
+      parts.runGossip.receiveDigest(address, runsDigest)
+      parts.upstreamStateGossip.receiveDigest(address, upstreamStatesDigest)
     },
     onTaskError: (thrown) => parts.failures.recordTask('prober', thrown),
     onPeerRevisions: (address, revisions) => Object.values(Collection).forEach((collection) => {
@@ -156,7 +156,7 @@
 }
 
 function createCachedStateAges ({ clock, platformContact, shardManagers }: BoxParts): CachedStateAges {
-  return new CachedStateAges({ clock, platformSilentMs: () => platformContact.silentMs, oldestReportAgeMs: () => shardManagers.oldestReportAgeMs() })
+  return new CachedStateAges({ clock, platformSilentMs: () => platformContact.sinceContactMs, oldestReportAgeMs: () => shardManagers.oldestReportAgeMs() })
 }
 
 function createDispatch (parts: BoxParts): PeerDispatch {
@@ -172,7 +172,7 @@
     upstreamStateGossip: parts.upstreamStateGossip,
     permitBuckets: parts.permitBuckets,
     upstreamStates: parts.upstreamStates,
-    onUpstreamReports: (reports) => parts.reportFlood.tell(reports.filter((report) => parts.upstreamReports.add(report))),
+    onUpstreamReports: (reports) => parts.reportBroadcaster.broadcast(reports.filter((report) => parts.upstreamReports.add(report))),
     lookup: parts.lookup,
     confirmRunningHere: parts.confirmRunningHere,
     describeForStatus: () => parts.shardManagers.describe(),
@@ -189,6 +189,6 @@
 /** This process confirms only requests of its own current incarnation. */
 function createConfirmRunningHere (parts: BoxParts): BoxParts['confirmRunningHere'] {
   return (incarnation, requestIds) => incarnation === parts.view.self.incarnation
-    ? parts.owner.vouch(incarnation, requestIds)
+    ? parts.owner.confirmRunning(incarnation, requestIds)
     : undefined
 }
--- a/box/runtime/src/createConfigParts.ts
+++ b/box/runtime/src/createConfigParts.ts
@@ -1,4 +1,4 @@
-import { type FleetList, GuardedFleet, parseFleetList } from '@reelspan/config.fleet'
+import { type FleetList, ReconciledFleet, parseFleetList } from '@reelspan/config.fleet'
 import { type Configuration, DeclarationsChecker } from '@reelspan/config.resources'
 import { ConfigFollower, ConfigStore } from '@reelspan/config.store'
 import { Collection } from '@reelspan/core.messages'
@@ -21,12 +21,12 @@
 }
 
 /** The fleet list that this box acts on. */
-export function createFleet (parts: BoxParts): GuardedFleet {
+export function createFleet (parts: BoxParts): ReconciledFleet {
   const { clock, fleetList, platformContact } = parts
-  return new GuardedFleet({
+  return new ReconciledFleet({
     clock,
     listed: fleetList,
-    mayHaveLapsed: () => platformContact.mayHaveExpired,
+    mayHaveExpired: () => platformContact.mayHaveExpired,
     draining: {
       get revision () { return parts.upstreamStates.drainingRevision },
       has: (upstream) => parts.upstreamStates.isDraining(upstream),
@@ -36,7 +36,7 @@
 
 /** Tracks whether the platform answers any box. */
 export function createPlatformContact ({ clock, log, platform, watcherRole }: BoxParts): PlatformContactTracker {
-  return new PlatformContactTracker({ clock, log, isWatcher: () => watcherRole.holds(), lastAnswerMs: () => platform.lastAnswerMs })
+  return new PlatformContactTracker({ clock, log, isWatcher: () => watcherRole.isWatcher(), lastAnswerMs: () => platform.lastAnswerMs })
 }
 
 /** Decides whether this box watches the platform on behalf of its availability zone. */
@@ -51,17 +51,17 @@
     ...environmentOf(parts),
     store,
     collection,
-    isWatcher: () => parts.watcherRole.holds(),
+    isWatcher: () => parts.watcherRole.isWatcher(),
     watchWaitMs: parts.settings.platform.watchWaitMs,
     backstopPollMs: parts.settings.platform.backstopPollMs,
     peerTimeoutMs: PEER_TIMEOUT_MS,
     longestBackoffMs: parts.settings.platform.longestBackoffMs,
     onAnswer: () => {
-      if (collection === Collection.Fleet) parts.platformContact.answered()
+      if (collection === Collection.Fleet) parts.platformContact.recordAnswer()
     },
     onReachable: (reachable, details) => parts.platformContact.recordReachability(reachable, details),
     onConfirmed: (revision, askedAtMs) => {
-      if (collection === Collection.Declarations) parts.proof.noteRead(revision, askedAtMs)
+      if (collection === Collection.Declarations) parts.freshnessProof.recordRead(revision, askedAtMs)
     },
     onTaskError: (thrown) => parts.failures.recordTask(`follower of ${collection}`, thrown),
     onRejected: (problems, revision) => parts.log.warn(LogEvent.RevisionRejected, { collection, revision, problems }),
--- a/box/runtime/src/createPlacer.ts
+++ b/box/runtime/src/createPlacer.ts
@@ -1,4 +1,4 @@
-import { createEnginePicker, FreshReports, OwnerAlonePlacer, PickerKind, PolledReports } from '@reelspan/scheduling.owner-alone'
+import { createEnginePicker, OnDemandReports, LocalPlacer, PickerKind, PolledReports } from '@reelspan/scheduling.owner-alone'
 import { type Placer } from '@reelspan/scheduling.placer'
 import { createPrefixIndex, type PrefixIndex } from '@reelspan/scheduling.prefix-index'
 import { SchedulerPlacer } from '@reelspan/scheduling.scheduler-placer'
@@ -29,7 +29,7 @@
   const { clock, random, engines, settings, view } = parts
   const { admission, countOwn, reportPeriodMs } = settings.scheduling
   const decodeStrategy = strategy === PickerKind.PrefixHash ? PickerKind.LeastLoad : strategy
-  return new OwnerAlonePlacer({
+  return new LocalPlacer({
     clock,
     picker: createEnginePicker(strategy, random),
     decodePicker: createEnginePicker(decodeStrategy, random),
@@ -43,24 +43,24 @@
     index,
     shardsOfModel: (model) => parts.shardManagers.shardsOfModel(model),
     admission,
-    ownWeight: () => countOwn ? view.takingWork().length : 0,
-    placesPercent: 100,
+    assumedOwners: () => countOwn ? view.takingWork().length : 0,
+    slotPercent: 100,
   })
 }
 
 /** Places requests at the owner while no scheduler can be reached. */
-function createFallback (parts: BoxParts, index: PrefixIndex): OwnerAlonePlacer {
+function createFallback (parts: BoxParts, index: PrefixIndex): LocalPlacer {
   const { clock, random, engines, settings } = parts
   const { reportPeriodMs, fallbackPlacesPercent } = settings.scheduling
-  return new OwnerAlonePlacer({
+  return new LocalPlacer({
     clock,
     picker: createEnginePicker(PickerKind.TwoChoices, random),
     decodePicker: createEnginePicker(PickerKind.TwoChoices, random),
-    reports: new FreshReports({ clock, random, engines, timeoutMs: reportPeriodMs / 2, sampleSize: FALLBACK_SAMPLE }),
+    reports: new OnDemandReports({ clock, random, engines, timeoutMs: reportPeriodMs / 2, sampleSize: FALLBACK_SAMPLE }),
     index,
     shardsOfModel: (model) => parts.shardManagers.shardsOfModel(model),
     admission: true,
-    ownWeight: () => 1,
-    placesPercent: fallbackPlacesPercent,
+    assumedOwners: () => 1,
+    slotPercent: fallbackPlacesPercent,
   })
 }
--- a/box/runtime/src/createRequestParts.ts
+++ b/box/runtime/src/createRequestParts.ts
@@ -1,10 +1,10 @@
 import { MessageType, type RunEvent } from '@reelspan/core.messages'
-import { Flood, Gossip } from '@reelspan/membership.prober'
+import { Broadcaster, Gossip } from '@reelspan/membership.prober'
 import { Owner } from '@reelspan/request.owner'
-import { BrokenRuns, Quarantine, RunMessages } from '@reelspan/request.quarantine'
+import { InterruptedRuns, Quarantine, RunMessages } from '@reelspan/request.quarantine'
 import { RecordStore } from '@reelspan/request.records'
 import { Relay } from '@reelspan/request.relay'
-import { type UpstreamReport } from '@reelspan/upstream.health'
+import { type UpstreamFailureReport } from '@reelspan/upstream.health'
 import { type BoxParts, environmentOf } from './boxParts.js'
 import { recordRequestEnd } from './recordRequestEnd.js'
 
@@ -12,7 +12,7 @@
 const REPORT_TIMEOUT_MS = 300
 
 export function createRecords ({ clock, settings }: BoxParts): RecordStore {
-  return new RecordStore({ clock, maxBytes: settings.requests.recordBytes, recordLifeMs: recordTtlMs(settings.requests) })
+  return new RecordStore({ clock, maxBytes: settings.requests.recordBytes, recordTtlMs: recordTtlMs(settings.requests) })
 }
 
 /** Records are kept longer than any key that can still refer to them is valid. */
@@ -20,23 +20,23 @@
   return prefixLifeMs + 2 * longestRequestMs
 }
 
-export function createBrokenRuns (parts: BoxParts): BrokenRuns {
+export function createInterruptedRuns (parts: BoxParts): InterruptedRuns {
   const { clock, probe, log, metrics, fleet } = parts
-  return new BrokenRuns({
+  return new InterruptedRuns({
     clock,
     probe,
     log,
     metrics,
     fleet: () => fleet.value,
-    onUpstreamEnded: ({ identity, upstream, sentAtMs, brokeAtMs }) =>
-      parts.quarantine.noteUpstreamEnded(identity, upstream, { ranMs: brokeAtMs - sentAtMs, ageMs: clock.nowMs() - brokeAtMs }),
+    onUpstreamExited: ({ identity, upstream, sentAtMs, interruptedAtMs }) =>
+      parts.quarantine.recordUpstreamExit(identity, upstream, { ranMs: interruptedAtMs - sentAtMs, ageMs: clock.nowMs() - interruptedAtMs }),
   })
 }
 
 /** Lost reports are not sent again, since a report is useful for only a second. */
-export function createReportBroadcast (parts: BoxParts): Flood<UpstreamReport> {
+export function createReportBroadcast (parts: BoxParts): Broadcaster<UpstreamFailureReport> {
   const { clock, link } = parts
-  return new Flood({
+  return new Broadcaster({
     clock,
     watchedAddresses: () => parts.prober.watchedAddresses(),
     // The link logs a failure.
@@ -52,17 +52,17 @@
   return new Gossip({
     clock,
     link,
-    book: runHistory,
+    store: runHistory,
     messages: new RunMessages(),
     watchedAddresses: () => parts.prober.watchedAddresses(),
-    onAdded: (events) => parts.quarantine.noteAdded(events),
+    onAdded: (events) => parts.quarantine.onEventsAdded(events),
     onTaskError: (thrown) => parts.failures.recordTask('runGossip', thrown),
   })
 }
 
 export function createQuarantine (parts: BoxParts): Quarantine {
   const { clock, log, view, runHistory } = parts
-  return new Quarantine({ clock, log, history: runHistory, incarnation: () => view.self.incarnation, onEvent: (event) => parts.runGossip.tell([event]) })
+  return new Quarantine({ clock, log, history: runHistory, incarnation: () => view.self.incarnation, onEvent: (event) => parts.runGossip.announce([event]) })
 }
 
 export function createOwner (parts: BoxParts): Owner {
@@ -71,10 +71,10 @@
     ...environmentOf(parts),
     pauses: parts.pauseDetector,
     placer: parts.placer,
-    brokenRuns: parts.brokenRuns,
+    interruptedRuns: parts.interruptedRuns,
     quarantine: parts.quarantine,
     records: parts.records,
-    standing: () => view.self,
+    self: () => view.self,
     configuration: () => declarations.value,
     fleet: () => fleet.value,
     prefixLifeMs: settings.requests.prefixLifeMs,
@@ -101,15 +101,15 @@
     backoffs: parts.backoffs,
     upstreamStates: parts.upstreamStates,
     permits: parts.permits,
-    returnTimes: parts.retryTimes,
+    retryTimes: parts.retryTimes,
     onClosedUnanswered: (upstream) => broadcastReport(parts, upstream),
-    brokenRuns: parts.brokenRuns,
+    interruptedRuns: parts.interruptedRuns,
     quarantine: parts.quarantine,
     configuration: () => declarations.value,
-    configured: (signal) => declarations.waitAbove(0, signal),
+    whenConfigured: (signal) => declarations.waitAbove(0, signal),
     fleet: () => fleet.value,
     fleetRevision: () => fleetList.revision,
-    standing: () => view.self,
+    self: () => view.self,
     boxCount: () => view.takingWork().length,
     onTaskError: (thrown) => parts.failures.recordTask('relay', thrown),
     ...settings.relay,
@@ -119,7 +119,7 @@
 }
 
 /** Broadcasts to all boxes that an upstream closed a connection to this box without an answer. */
-function broadcastReport ({ random, reportFlood, upstreamReports, view }: BoxParts, upstream: string): void {
+function broadcastReport ({ random, reportBroadcaster, upstreamReports, view }: BoxParts, upstream: string): void {
   const report = { id: random.hex(16), upstream, box: view.self.name, ageMs: 0 }
-  if (upstreamReports.add(report)) reportFlood.tell([report])
+  if (upstreamReports.add(report)) reportBroadcaster.broadcast([report])
 }
--- a/box/runtime/src/createSignalParts.ts
+++ b/box/runtime/src/createSignalParts.ts
@@ -10,7 +10,7 @@
     clock,
     log,
     isListed: (upstream) => parts.fleet.value.upstream(upstream) !== undefined,
-    onChanged: (update) => parts.upstreamStateGossip.tell([update]),
+    onChanged: (update) => parts.upstreamStateGossip.announce([update]),
     onDraining: () => parts.box.onFleetChange(),
   })
 }
@@ -20,10 +20,10 @@
   return new Gossip({
     clock,
     link,
-    book: upstreamStates,
+    store: upstreamStates,
     messages: new UpstreamStateMessages(),
     watchedAddresses: () => parts.prober.watchedAddresses(),
-    mayTell: (update) => upstreamStates.mayTell(update),
+    mayForward: (update) => upstreamStates.mayForward(update),
     onTaskError: (thrown) => parts.failures.recordTask('upstreamStateGossip', thrown),
   })
 }
--- a/box/runtime/src/failureLog.ts
+++ b/box/runtime/src/failureLog.ts
@@ -1,6 +1,6 @@
 import { type Clock } from '@reelspan/core.env'
 import { errorMessage } from '@reelspan/core.error'
-import { type Log, LogEvent, type LogFields, RateLimit } from '@reelspan/telemetry.log'
+import { type Log, LogEvent, type LogFields, RateLimiter } from '@reelspan/telemetry.log'
 import { type Metrics } from '@reelspan/telemetry.metrics'
 
 /** A failed call that no request waits for, or that its caller recovers from. */
@@ -36,12 +36,12 @@
  */
 export class FailureLog {
   readonly #opts: FailureLogOptions
-  readonly #rate: RateLimit
+  readonly #rate: RateLimiter
   readonly #logged = new Map<string, LoggedFailure>()
 
   constructor (opts: FailureLogOptions) {
     this.#opts = opts
-    this.#rate = new RateLimit({ nowMs: () => opts.clock.nowMs(), perSecond: MAX_LINES_PER_SECOND })
+    this.#rate = new RateLimiter({ nowMs: () => opts.clock.nowMs(), perSecond: MAX_LINES_PER_SECOND })
   }
 
   recordCall ({ event, call, target }: FailedCall, thrown: unknown): void {
@@ -64,7 +64,7 @@
     const nowMs = this.#opts.clock.nowMs()
     const previous = this.#logged.get(key) ?? { loggedAtMs: Number.NEGATIVE_INFINITY, unlogged: 0 }
     const times = previous.unlogged + 1
-    const isLogged = nowMs - previous.loggedAtMs >= REPEAT_INTERVAL_MS && this.#rate.take()
+    const isLogged = nowMs - previous.loggedAtMs >= REPEAT_INTERVAL_MS && this.#rate.tryAcquire()
     this.#logged.delete(key)
     this.#logged.set(key, isLogged ? { loggedAtMs: nowMs, unlogged: 0 } : { ...previous, unlogged: times })
     this.#evictLeastRecentlyFailed()
--- a/box/runtime/src/fleetChangeLogger.ts
+++ b/box/runtime/src/fleetChangeLogger.ts
@@ -1,9 +1,9 @@
-import { type GuardedFleet } from '@reelspan/config.fleet'
+import { type ReconciledFleet } from '@reelspan/config.fleet'
 import { type StoreRevision } from '@reelspan/config.store'
 import { type Log, LogEvent } from '@reelspan/telemetry.log'
 
 export interface FleetChangeLoggerOptions {
-  fleet: GuardedFleet
+  fleet: ReconciledFleet
   log: Log
   /** Time since the platform last answered any box, as far as this box knows. */
   platformSilentMs: () => number | undefined
@@ -52,7 +52,7 @@
   }
 }
 
-function listingStates (fleet: GuardedFleet): Map<string, ListingState> {
+function listingStates (fleet: ReconciledFleet): Map<string, ListingState> {
   const { upstreams } = fleet.value
   const missing = new Set(fleet.missing)
   return new Map(upstreams.map(({ name, leaving }) => [name, missing.has(name) ? ListingState.Kept : leaving ? ListingState.Draining : ListingState.TakesWork]))
--- a/box/runtime/src/peerDispatch.ts
+++ b/box/runtime/src/peerDispatch.ts
@@ -1,7 +1,7 @@
 import { type ConfigStore } from '@reelspan/config.store'
 import { ErrorCode, ReelspanError, Verdict } from '@reelspan/core.error'
 import { Collection, MemberHealth, type UpstreamStateUpdate, type MessageOf, MessageType, type PeerHandler, type PeerMessage, RevisionNumbering, type RunEvent } from '@reelspan/core.messages'
-import { type LimitBook } from '@reelspan/membership.limits'
+import { type TokenBucketStore } from '@reelspan/membership.limits'
 import { type Gossip, type Prober } from '@reelspan/membership.prober'
 import { type MembershipView } from '@reelspan/membership.view'
 import { parseRequestKey } from '@reelspan/request.key'
@@ -10,7 +10,7 @@
 import { type RecordStore } from '@reelspan/request.records'
 import { type Log, LogEvent } from '@reelspan/telemetry.log'
 import { type ShardManagers } from './shardManagers.js'
-import { type UpstreamReport } from '@reelspan/upstream.health'
+import { type UpstreamFailureReport } from '@reelspan/upstream.health'
 import { type UpstreamStates } from '@reelspan/upstream.signals'
 import { acquirePermits } from './createLimitParts.js'
 
@@ -22,11 +22,11 @@
   owner: Owner
   records: RecordStore
   runGossip: Gossip<RunEvent>
-  accountBuckets: LimitBook
+  accountBuckets: TokenBucketStore
   upstreamStateGossip: Gossip<UpstreamStateUpdate>
-  permitBuckets: LimitBook
+  permitBuckets: TokenBucketStore
   upstreamStates: UpstreamStates
-  onUpstreamReports: (reports: readonly UpstreamReport[]) => void
+  onUpstreamReports: (reports: readonly UpstreamFailureReport[]) => void
   lookup: (availabilityZone?: string) => LookupAnswer
   confirmRunningHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
   describeForStatus: () => unknown
@@ -52,7 +52,7 @@
         shardManagers.existing(message.shardId)?.release(message.label, message.report, message.outcomes)
         return DONE
       case MessageType.PrefillDone:
-        shardManagers.existing(message.shardId)?.prefilled(message.label)
+        shardManagers.existing(message.shardId)?.recordPrefillEnd(message.label)
         return DONE
       case MessageType.AdoptReservations:
         shardManagers.scheduler(message.shardId)?.adopt(message.reservations)
@@ -67,7 +67,7 @@
       case MessageType.Lookup:
         return { type: MessageType.LookupAnswer, ...lookup(message.availabilityZone) }
       case MessageType.RunsTell:
-        runGossip.take(message.events)
+        runGossip.receive(message.events)
         return DONE
       case MessageType.RunsPull:
         return { type: MessageType.RunsContent, events: runGossip.known() }
@@ -75,20 +75,20 @@
         onUpstreamReports(message.reports)
         return DONE
       case MessageType.AccountTake:
-        return { type: MessageType.AccountTaken, waitMs: accountBuckets.take(message.account, message.cost) }
+        return { type: MessageType.AccountTaken, waitMs: accountBuckets.acquire(message.account, message.cost) }
       case MessageType.AccountGiveBack:
-        accountBuckets.giveBack(message.account, message.cost)
+        accountBuckets.release(message.account, message.cost)
         return DONE
       case MessageType.UpstreamStatesTell:
-        upstreamStateGossip.take(message.updates)
+        upstreamStateGossip.receive(message.updates)
         return DONE
       case MessageType.UpstreamStatesPull:
-        upstreamStateGossip.take(message.updates)
+        upstreamStateGossip.receive(message.updates)
         return { type: MessageType.UpstreamStatesContent, updates: upstreamStateGossip.known() }
       case MessageType.UpstreamTake:
         return acquirePermits(this.#opts, message)
       case MessageType.UpstreamGiveBack:
-        permitBuckets.giveBack(message.upstream, message.cost)
+        permitBuckets.release(message.upstream, message.cost)
         return DONE
       case MessageType.StatusPull:
         return { type: MessageType.StatusContent, status: describeForStatus() }
@@ -120,7 +120,7 @@
     const { records, view, log } = this.#opts
     if (view.self.leaving) throw new ReelspanError(ErrorCode.Draining, 'this box is stopping and accepts no records')
     records.import(portable)
-    records.markTaken(taken)
+    records.addPredecessors(taken)
     if (taken.length > 0) log.info(LogEvent.RecordsTaken, { incarnations: taken.map(({ incarnation }) => incarnation) })
     return DONE
   }
--- a/box/runtime/src/plannedStop.ts
+++ b/box/runtime/src/plannedStop.ts
@@ -7,7 +7,7 @@
 import { type MembershipView } from '@reelspan/membership.view'
 import { type Owner } from '@reelspan/request.owner'
 import { type Relay } from '@reelspan/request.relay'
-import { type PortableRecord, type RecordStore } from '@reelspan/request.records'
+import { type ExportedRecord, type RecordStore } from '@reelspan/request.records'
 import { type Log, LogEvent } from '@reelspan/telemetry.log'
 
 export interface PlannedStopOptions {
@@ -37,22 +37,22 @@
   const { clock, settings, view, prober, owner, relay, waitForCallers } = opts
   const gossipMs = GOSSIP_PERIODS * settings.membership.probePeriodMs
   view.announce({ leaving: true }, clock.nowMs())
-  await prober.tellNow()
+  await prober.sendHeartbeatsNow()
   // Callers cache lookup answers and still send requests here until these expire.
   await clock.sleep(settings.requests.lookupKeepMs + ANNOUNCE_PERIODS * settings.membership.probePeriodMs)
-  owner.closeForNew()
-  relay?.closeForNew()
+  owner.stopAccepting()
+  relay?.stopAccepting()
   await waitForIdle(opts, settings.requests.longestRequestMs)
   const successor = await handOffRecords(opts)
   view.announce({ health: MemberHealth.Gone, successor }, clock.nowMs())
-  await prober.tellNow()
+  await prober.sendHeartbeatsNow()
   await clock.sleep(gossipMs)
   await waitForCallers()
 }
 
 async function waitForIdle ({ clock, owner, relay }: PlannedStopOptions, durationMs: number): Promise<void> {
   const stop = new AbortController()
-  await Promise.race([Promise.all([owner.waitIdle(stop.signal), relay?.waitIdle(stop.signal)]), clock.sleep(durationMs, { signal: stop.signal })])
+  await Promise.race([Promise.all([owner.waitUntilIdle(stop.signal), relay?.waitUntilIdle(stop.signal)]), clock.sleep(durationMs, { signal: stop.signal })])
   stop.abort()
 }
 
@@ -74,7 +74,7 @@
 
 async function sendRecords ({ clock, link, view, records }: PlannedStopOptions, address: string): Promise<void> {
   const batches = splitIntoBatches(records.export())
-  const taken = [...records.taken(), { incarnation: view.self.incarnation, clockMs: clock.nowMs() }]
+  const taken = [...records.predecessors(), { incarnation: view.self.incarnation, clockMs: clock.nowMs() }]
   for (const [i, batch] of batches.entries()) {
     const isLast = i === batches.length - 1
     await link.call(address, { type: MessageType.RecordsHandoff, records: batch, taken: isLast ? taken : [] }, { timeoutMs: HANDOFF_TIMEOUT_MS })
@@ -82,7 +82,7 @@
 }
 
 /** Always returns at least one batch, since the last batch also marks the handoff as complete. */
-function splitIntoBatches (records: PortableRecord[]): PortableRecord[][] {
+function splitIntoBatches (records: ExportedRecord[]): ExportedRecord[][] {
   const count = Math.max(1, Math.ceil(records.length / RECORDS_PER_HANDOFF))
   return Array.from({ length: count }, (_, i) => records.slice(i * RECORDS_PER_HANDOFF, (i + 1) * RECORDS_PER_HANDOFF))
 }
--- a/box/runtime/src/platformContactTracker.ts
+++ b/box/runtime/src/platformContactTracker.ts
@@ -1,7 +1,7 @@
-import { REENTRY_MS } from '@reelspan/config.fleet'
+import { REREGISTRATION_MS } from '@reelspan/config.fleet'
 import { type PlatformContact } from '@reelspan/config.store'
 import { type Clock } from '@reelspan/core.env'
-import { Collection, type PlatformAnswering } from '@reelspan/core.messages'
+import { Collection, type PlatformAvailability } from '@reelspan/core.messages'
 import { type Log, LogEvent } from '@reelspan/telemetry.log'
 
 export interface PlatformContactTrackerOptions {
@@ -43,23 +43,23 @@
   }
 
   get mayHaveExpired (): boolean {
-    if ((this.silentMs ?? 0) >= MIN_OUTAGE_TO_EXPIRE_MS) return true
-    return this.#previous !== undefined && this.#latest !== undefined && this.#opts.clock.nowMs() < this.#latest.sinceMs + REENTRY_MS
+    if ((this.sinceContactMs ?? 0) >= MIN_OUTAGE_TO_EXPIRE_MS) return true
+    return this.#previous !== undefined && this.#latest !== undefined && this.#opts.clock.nowMs() < this.#latest.sinceMs + REREGISTRATION_MS
   }
 
   /** Time since any box last had contact with the platform, as far as this box knows. */
-  get silentMs (): number | undefined {
+  get sinceContactMs (): number | undefined {
     if (this.#isWaiting) return 0
     return this.#latest && this.#opts.clock.nowMs() - this.#lastContactAtMs
   }
 
   /** Report for the peers, or undefined if this box knows of no contact. */
-  get answering (): PlatformAnswering | undefined {
-    const { silentMs } = this
+  get answering (): PlatformAvailability | undefined {
+    const { sinceContactMs } = this
     const interval = this.#latestKnown
-    if (silentMs === undefined || !interval) return undefined
+    if (sinceContactMs === undefined || !interval) return undefined
     const nowMs = this.#opts.clock.nowMs()
-    return { silentMs, answeredMs: nowMs - interval.lastMs, answeringMs: nowMs - interval.sinceMs }
+    return { silentMs: sinceContactMs, answeredMs: nowMs - interval.lastMs, answeringMs: nowMs - interval.sinceMs }
   }
 
   /** Calls the listener when the platform answers again after an outage in which entries may have expired. */
@@ -82,13 +82,13 @@
     this.#reachable = reachable
   }
 
-  answered (): void {
+  recordAnswer (): void {
     const nowMs = this.#opts.clock.nowMs()
     this.#recordContact(nowMs)
     this.#merge({ sinceMs: nowMs, lastMs: nowMs })
   }
 
-  receivePeerReport ({ silentMs, answeredMs, answeringMs }: PlatformAnswering): void {
+  receivePeerReport ({ silentMs, answeredMs, answeringMs }: PlatformAvailability): void {
     const nowMs = this.#opts.clock.nowMs()
     this.#recordContact(nowMs - silentMs)
     this.#merge({ sinceMs: nowMs - answeringMs, lastMs: nowMs - answeredMs })
--- a/box/runtime/src/reconciler.ts
+++ b/box/runtime/src/reconciler.ts
@@ -1,4 +1,4 @@
-import { REENTRY_MS } from '@reelspan/config.fleet'
+import { REREGISTRATION_MS } from '@reelspan/config.fleet'
 import { storeRevisionOf } from '@reelspan/config.store'
 import { type TaskGroup } from '@reelspan/core.env'
 import { Collection } from '@reelspan/core.messages'
@@ -25,7 +25,7 @@
   constructor (parts: BoxParts, tasks: TaskGroup) {
     this.#parts = parts
     this.#tasks = tasks
-    this.#fleetChangeLogger = new FleetChangeLogger({ fleet: parts.fleet, log: parts.log, platformSilentMs: () => parts.platformContact.silentMs })
+    this.#fleetChangeLogger = new FleetChangeLogger({ fleet: parts.fleet, log: parts.log, platformSilentMs: () => parts.platformContact.sinceContactMs })
   }
 
   /** Whether this box has adopted a configuration. */
@@ -56,18 +56,18 @@
     this.#reconcilePending = true
     const { clock, placer } = this.#parts
     this.#tasks.run(async () => {
-      await clock.settle()
+      await clock.awaitPendingInput()
       this.#reconcilePending = false
       if (this.#tasks.stopped) return
       this.#reconcile()
-      if (placer instanceof SchedulerPlacer) await placer.adoptByNewSchedulers()
+      if (placer instanceof SchedulerPlacer) await placer.transferToNewSchedulers()
     })
   }
 
   /** Drops upstreams whose entries expired during a platform outage and that have not registered again in time. */
   async #reconcileAfterReentry (): Promise<void> {
     const { clock, fleet, fleetList, log } = this.#parts
-    await clock.sleep(REENTRY_MS, { signal: this.#tasks.signal })
+    await clock.sleep(REREGISTRATION_MS, { signal: this.#tasks.signal })
     log.info(LogEvent.EntriesKept, { gone: fleet.missing })
     this.#onFleetRevision(fleetList.revision)
     this.#reconcile()
@@ -90,7 +90,7 @@
 
   #onFleetRevision (listOrder: number): void {
     this.#fleetChangeLogger.logChanges(storeRevisionOf(listOrder))
-    this.#parts.brokenRuns.noteFleet()
+    this.#parts.interruptedRuns.onFleetChanged()
   }
 
   #reconcile (): void {
--- a/box/runtime/src/registerBoxMetrics.ts
+++ b/box/runtime/src/registerBoxMetrics.ts
@@ -3,7 +3,7 @@
 
 /** Registers the gauges for a box's own state. */
 export function registerBoxMetrics (parts: BoxParts): void {
-  const { metrics, owner, log, cachedStateAges, quarantine, runHistory, proof, upstreamStates, backoffs } = parts
+  const { metrics, owner, log, cachedStateAges, quarantine, runHistory, freshnessProof, upstreamStates, backoffs } = parts
   metrics.gauge('reelspan_requests_in_flight', () => owner.inFlight)
   metrics.gauge('reelspan_log_lines_dropped_total', () => log.droppedLines)
   metrics.gauge('reelspan_requests_quarantined', () => quarantine.countQuarantined())
@@ -11,7 +11,7 @@
   metrics.gauge('reelspan_upstreams_limited', () => upstreamStates.count)
   metrics.gauge('reelspan_upstreams_draining', () => upstreamStates.drainingCount)
   metrics.gauge('reelspan_upstreams_backing_off', () => backoffs.count)
-  if (proof.isNeeded) metrics.gauge('reelspan_accounts_proof_age_ms', () => proof.ageMs)
+  if (freshnessProof.isRequired) metrics.gauge('reelspan_accounts_proof_age_ms', () => freshnessProof.ageMs)
   metrics.gauges('reelspan_belief_age_ms', () => cachedStateAges.values())
   metrics.gauges('reelspan_retry_budget_left', () => retryBudgets(parts))
 }
--- a/box/runtime/src/requestRouter.ts
+++ b/box/runtime/src/requestRouter.ts
@@ -87,7 +87,7 @@
   /** The box that has an owner's records: the owner's process, or the successor that received them when it stopped. */
   #addressOf ({ incarnation, peerAddress }: KeyOwner): Target {
     const { view, records } = this.#opts
-    if (incarnation === view.self.incarnation || records.clockOf(incarnation) !== undefined) return {}
+    if (incarnation === view.self.incarnation || records.estimateClockMs(incarnation) !== undefined) return {}
     const address = this.#followSuccessors(incarnation) ?? peerAddress
     return address === view.self.peerAddress ? {} : { address }
   }
--- a/box/runtime/src/shardManager.ts
+++ b/box/runtime/src/shardManager.ts
@@ -2,16 +2,16 @@
 import { type Clock, type TaskErrorListener, TaskGroup } from '@reelspan/core.env'
 import { type EngineAccount } from '@reelspan/scheduling.ledger'
 import { type ShardScheduler } from '@reelspan/scheduling.scheduler'
-import { type EngineClient, type EngineReport, EngineRole, ReportStart, reportStart } from '@reelspan/upstream.client'
+import { type EngineClient, type EngineReport, EngineRole, ReportedStart, compareReportedStart } from '@reelspan/upstream.client'
 import { type HoldSweeper } from '@reelspan/upstream.holds'
-import { type BalancedEngine, OrderController, type OrderControllerOptions, type OrderRight, RoleBalancer, type RoleBalancerOptions } from '@reelspan/upstream.orders'
+import { type BalancedEngine, OrderController, type OrderControllerOptions, type OrderLease, RoleBalancer, type RoleBalancerOptions } from '@reelspan/upstream.orders'
 
 export interface ShardManagerOptions {
   clock: Clock
   engines: EngineClient
   scheduler: ShardScheduler
   sweeper: HoldSweeper
-  lease: OrderRight
+  lease: OrderLease
   configuration: () => Configuration
   reportPeriodMs: number
   onOrder: OrderControllerOptions['onOrder']
@@ -29,7 +29,7 @@
 /** Manages a shard at its scheduler's box: polls the engines, releases holds that no owner confirms, and sends orders. */
 export class ShardManager {
   readonly scheduler: ShardScheduler
-  readonly lease: OrderRight
+  readonly lease: OrderLease
   readonly #opts: ShardManagerOptions
   readonly #tasks: TaskGroup
   readonly #orders: OrderController
@@ -44,8 +44,8 @@
     this.lease = opts.lease
     this.#tasks = new TaskGroup(opts.clock, opts.onTaskError)
     const orderTimeoutMs = opts.reportPeriodMs * 2
-    this.#orders = new OrderController({ ...opts, right: opts.lease, orderTimeoutMs })
-    this.#balancer = opts.roles && new RoleBalancer({ ...opts, ...opts.roles, right: opts.lease, orderTimeoutMs })
+    this.#orders = new OrderController({ ...opts, lease: opts.lease, orderTimeoutMs })
+    this.#balancer = opts.roles && new RoleBalancer({ ...opts, ...opts.roles, lease: opts.lease, orderTimeoutMs })
   }
 
   start (): void {
@@ -54,7 +54,7 @@
 
   /** State for the debug endpoint. */
   describe () {
-    return { ...this.scheduler.describe(), mayOrder: this.lease.holds(), roles: this.#balancer?.plan }
+    return { ...this.scheduler.describe(), mayOrder: this.lease.isValid(), roles: this.#balancer?.plan }
   }
 
   async stop (): Promise<void> {
@@ -74,8 +74,8 @@
   async #poll (): Promise<void> {
     this.#passCount++
     await Promise.all(this.scheduler.ledger.allEngines().map((engine) => this.#pollEngine(engine)))
-    if (this.lease.holds()) await this.#sendOrders()
-    else this.#balancer?.standDown()
+    if (this.lease.isValid()) await this.#sendOrders()
+    else this.#balancer?.cancelUnorderedMoves()
   }
 
   async #pollEngine (engine: EngineAccount<unknown>): Promise<void> {
@@ -91,9 +91,9 @@
     const { name, address } = engine
     // The client logs a failure.
     const report = await engines.report(address, { timeoutMs, signal: this.#tasks.signal }).catch(() => undefined)
-    if (report) this.scheduler.noteReport(name, report)
-    else this.scheduler.noteSilent(name)
-    return report && reportStart(engine, report) === ReportStart.Same ? report : undefined
+    if (report) this.scheduler.recordReport(name, report)
+    else this.scheduler.markUnresponsive(name)
+    return report && compareReportedStart(engine, report) === ReportedStart.Same ? report : undefined
   }
 
   async #readCacheEvents ({ name, address }: EngineAccount<unknown>): Promise<void> {
@@ -103,7 +103,7 @@
     const page = await engines.cacheEvents(address, since, { timeoutMs: reportPeriodMs, signal: this.#tasks.signal }).catch(() => undefined)
     if (!page) return
     this.#cacheSequences.set(name, page.nextSequence)
-    this.scheduler.noteRemovals(name, { removedDigests: page.removedDigests, afterGap: page.firstSequence > since || page.nextSequence < since })
+    this.scheduler.recordRemovals(name, { removedDigests: page.removedDigests, afterGap: page.firstSequence > since || page.nextSequence < since })
   }
 
   async #sendOrders (): Promise<void> {
@@ -111,12 +111,12 @@
     const { model, prefillPool, decodePool } = ledger.shard
     const inRole = (engine: EngineAccount<unknown>) => this.#isInRole(engine)
     const plans = [
-      await this.#orders.pass({ model, role: EngineRole.Prefill, pool: prefillPool, engines: ledger.prefillEngines().filter(inRole) }),
-      await this.#orders.pass({ model, role: EngineRole.Decode, pool: decodePool, engines: ledger.decodeEngines().filter(inRole) }),
+      await this.#orders.reconcile({ model, role: EngineRole.Prefill, pool: prefillPool, engines: ledger.prefillEngines().filter(inRole) }),
+      await this.#orders.reconcile({ model, role: EngineRole.Decode, pool: decodePool, engines: ledger.decodeEngines().filter(inRole) }),
     ]
     await this.#balanceRoles()
     const retiring = new Set(plans.flatMap((plan) => plan.retiring))
-    ledger.allEngines().forEach((engine) => { engine.retiring = retiring.has(engine.name) || this.#balancer?.isMoving(engine.name) === true })
+    ledger.allEngines().forEach((engine) => { engine.retiring = retiring.has(engine.name) || this.#balancer?.isChangingRole(engine.name) === true })
   }
 
   /**
@@ -124,14 +124,14 @@
    * behind the actual roles and does not state the desired ones.
    */
   #isInRole ({ name, role, report }: EngineAccount<unknown>): boolean {
-    return !this.#balancer || (!this.#balancer.isMoving(name) && (report === undefined || report.role === role))
+    return !this.#balancer || (!this.#balancer.isChangingRole(name) && (report === undefined || report.role === role))
   }
 
   async #balanceRoles (): Promise<void> {
     const { ledger } = this.scheduler
     const { prefillPool, decodePool } = ledger.shard
     const balanced = (engine: EngineAccount<unknown>): BalancedEngine => ({ ...engine, reservations: ledger.reservationsOn(engine.name) })
-    await this.#balancer?.pass(
+    await this.#balancer?.reconcile(
       { prefill: ledger.prefillEngines().map(balanced), decode: ledger.decodeEngines().map(balanced) },
       { prefill: Math.max(1, prefillPool.minReadyEngines), decode: Math.max(1, decodePool.minReadyEngines) },
       this.scheduler.observedLoad()
--- a/box/runtime/src/shardManagers.ts
+++ b/box/runtime/src/shardManagers.ts
@@ -1,7 +1,7 @@
 import { type FleetList } from '@reelspan/config.fleet'
 import { type Configuration } from '@reelspan/config.resources'
 import { type ConfigStore } from '@reelspan/config.store'
-import { type PauseWatch } from '@reelspan/core.env'
+import { type PauseDetector } from '@reelspan/core.env'
 import { type HoldLabel } from '@reelspan/core.messages'
 import { type MembershipView } from '@reelspan/membership.view'
 import { createPrefixIndex } from '@reelspan/scheduling.prefix-index'
@@ -9,14 +9,14 @@
 import { deriveShards, schedulerOf, type Shard } from '@reelspan/scheduling.shards'
 import { LogEvent, type LogFields } from '@reelspan/telemetry.log'
 import { HoldSweeper } from '@reelspan/upstream.holds'
-import { OrderRight, type RoleLoad, type RolePlan } from '@reelspan/upstream.orders'
+import { OrderLease, type RoleLoad, type RolePlan } from '@reelspan/upstream.orders'
 import { type BoxEnvironment } from './boxEnvironment.js'
 import { type FailureLog } from './failureLog.js'
 import { ShardManager, type ShardManagerOptions } from './shardManager.js'
 
 export interface ShardManagersOptions extends BoxEnvironment {
   failures: FailureLog
-  pauseDetector: PauseWatch
+  pauseDetector: PauseDetector
   declarations: ConfigStore<Configuration>
   /** The fleet list that this box acts on. Its revision also counts changes that this box makes to the list. */
   fleet: { readonly value: FleetList, readonly revision: number }
@@ -79,13 +79,13 @@
     const members = view.takingWork()
     shards.forEach((shard) => {
       const isScheduler = schedulerOf(shard, members)?.incarnation === view.self.incarnation
-      if (isScheduler) this.#managerOf(shard).lease.take()
-      else this.#managers.get(shard.id)?.lease.giveUp()
+      if (isScheduler) this.#managerOf(shard).lease.acquire()
+      else this.#managers.get(shard.id)?.lease.release()
       this.#managers.get(shard.id)?.scheduler.update(shard)
     })
     const ids = new Set(shards.map(({ id }) => id))
     this.#managers.forEach((manager, id) => {
-      if (!ids.has(id) || (!manager.lease.taken && manager.scheduler.idle)) this.#removeManager(id, manager)
+      if (!ids.has(id) || (!manager.lease.isAcquired && manager.scheduler.idle)) this.#removeManager(id, manager)
     })
   }
 
@@ -132,7 +132,7 @@
       engines,
       scheduler,
       sweeper: this.#createSweeper(scheduler),
-      lease: new OrderRight({ clock, lifeMs: orderRightMs, lastContactMs, pauses: pauseDetector }),
+      lease: new OrderLease({ clock, durationMs: orderRightMs, lastContactMs, pauses: pauseDetector }),
       configuration: () => declarations.value,
       reportPeriodMs,
       onTaskError: (thrown) => failures.recordTask('shardKeeper', thrown),
@@ -162,7 +162,7 @@
       shard,
       route: () => declarations.value.routeOfModel(shard.model)?.spec,
       index: createPrefixIndex(prefixIndex),
-      reportLifeMs: reportPeriodMs * REPORT_TTL_PERIODS,
+      maxReportAgeMs: reportPeriodMs * REPORT_TTL_PERIODS,
       limitPerSecond,
       onUnreachable,
       onSuspected: (upstream, forMs, failureShare) => log.warn(LogEvent.UpstreamSuspected, { upstream, shard: shard.id, forMs, failureShare: Number(failureShare.toFixed(2)) }),
@@ -180,9 +180,9 @@
       link,
       engines,
       isGone,
-      vouchHere: confirmRunningHere,
-      isAccounted: (label: HoldLabel) => scheduler.ledger.isCurrent(label, clock.nowMs()),
-      vouchTimeoutMs: reportPeriodMs,
+      confirmRunningHere,
+      isReserved: (label: HoldLabel) => scheduler.ledger.isCurrent(label, clock.nowMs()),
+      confirmTimeoutMs: reportPeriodMs,
       releaseTimeoutMs: reportPeriodMs,
       onRelease: (engine, hold, reason) => {
         scheduler.release(hold.label)
--- a/box/runtime/src/watcherRole.ts
+++ b/box/runtime/src/watcherRole.ts
@@ -28,7 +28,7 @@
   }
 
   /** Whether this box currently watches the platform. */
-  holds (): boolean {
+  isWatcher (): boolean {
     const { clock, settings, lastMajorityContactMs } = this.#opts
     if (clock.nowMs() - lastMajorityContactMs() > ISOLATED_AFTER_PERIODS * settings.membership.probePeriodMs) return true
     return this.proofRole() !== ProofRole.Other
--- a/box/runtime/test/__utils__/crashingRequests.ts
+++ b/box/runtime/test/__utils__/crashingRequests.ts
@@ -1,7 +1,7 @@
 import { UpstreamKind } from '@reelspan/config.fleet'
 import { ResourceKind } from '@reelspan/config.resources'
-import { FakeFleet, type KeepingCaller } from '@reelspan/utils.fake-fleet'
-import { type BoxPlace, tuulDeclarations, type UpstreamPlace } from '@reelspan/utils.fakes'
+import { FakeFleet, type FakeRelayCaller } from '@reelspan/utils.fake-fleet'
+import { type DeployedBox, sampleDeclarations, type DeployedUpstream } from '@reelspan/utils.fakes'
 
 export const HOST = 'drafts.example'
 /** Settings of the production platform. */
@@ -30,9 +30,9 @@
   return Array.from({ length: count }, (_, i) => `${kind}-${i + 1}`)
 }
 
-function deploymentOf (boxCount: number): { boxes: BoxPlace[], upstreams: UpstreamPlace[] } {
+function deploymentOf (boxCount: number): { boxes: DeployedBox[], upstreams: DeployedUpstream[] } {
   const zone = (i: number) => ZONES[i % ZONES.length]
-  const upstreamsOf = (names: readonly string[], kind: UpstreamKind, pool: string) => names.map((name, i): UpstreamPlace => ({ name, kind, pool, availabilityZone: zone(i) }))
+  const upstreamsOf = (names: readonly string[], kind: UpstreamKind, pool: string) => names.map((name, i): DeployedUpstream => ({ name, kind, pool, availabilityZone: zone(i) }))
   return {
     boxes: Array.from({ length: boxCount }, (_, i) => ({ name: `box-${i + 1}`, availabilityZone: zone(i) })),
     upstreams: [
@@ -48,8 +48,8 @@
  * repeatable call. Targets that contain `ends` crash the upstreams that run them.
  */
 export async function startFleet ({ seed = 1, boxCount = 8 } = {}): Promise<FakeFleet> {
-  const fleet = new FakeFleet({ seed, deployment: deploymentOf(boxCount), declarations: [...tuulDeclarations(), ...ROUTES], settings: SETTINGS })
-  fleet.relayed.endsUpstream = ({ target }) => target.includes('ends')
+  const fleet = new FakeFleet({ seed, deployment: deploymentOf(boxCount), declarations: [...sampleDeclarations(), ...ROUTES], settings: SETTINGS })
+  fleet.relayedUpstreams.crashesUpstream = ({ target }) => target.includes('ends')
   await fleet.start()
   await fleet.clock.advance(2000)
   return fleet
@@ -65,8 +65,8 @@
 }
 
 /** Repeats a request from one caller, each time under a new id and at a random box. */
-export async function repeatRequest (fleet: FakeFleet, { target, times, everyMs, callerAddress = '10.9.0.1', boxes }: RepeatRequestOptions): Promise<KeepingCaller[]> {
-  const callers: KeepingCaller[] = []
+export async function repeatRequest (fleet: FakeFleet, { target, times, everyMs, callerAddress = '10.9.0.1', boxes }: RepeatRequestOptions): Promise<FakeRelayCaller[]> {
+  const callers: FakeRelayCaller[] = []
   for (let i = 0; i < times; i++) {
     const names = boxes ?? fleet.liveBoxes().map(({ name }) => name)
     const [box] = fleet.random.sample(names, 1)
@@ -77,9 +77,9 @@
 }
 
 /** Ids of the attempts that reached upstreams although all boxes must have known that the target had crashed three of them. */
-export function lateAttempts ({ relayed }: FakeFleet, target: string): string[] {
-  const third = relayed.endedUnder.filter((ended) => ended.target === target)[2]
+export function lateAttempts ({ relayedUpstreams }: FakeFleet, target: string): string[] {
+  const third = relayedUpstreams.crashes.filter((ended) => ended.target === target)[2]
   if (!third) return []
-  const late = relayed.arrivals.filter((arrival) => arrival.target === target && arrival.sentAtMs > third.atMs + PROPAGATION_MS)
+  const late = relayedUpstreams.arrivals.filter((arrival) => arrival.target === target && arrival.sentAtMs > third.atMs + PROPAGATION_MS)
   return [...new Set(late.map(({ id }) => id))]
 }
--- a/box/runtime/test/__utils__/limitedUpstreams.ts
+++ b/box/runtime/test/__utils__/limitedUpstreams.ts
@@ -1,5 +1,5 @@
-import { type FakeFleet, type KeepingCaller } from '@reelspan/utils.fake-fleet'
-import { fullestWindow, type LimitRule, type RelayedArrival } from '@reelspan/utils.fakes'
+import { type FakeFleet, type FakeRelayCaller } from '@reelspan/utils.fake-fleet'
+import { maxWindowUsage, type LimitRule, type RelayedArrival } from '@reelspan/utils.fakes'
 import { PROPAGATION_MS, HOST } from './crashingRequests.js'
 
 const MS_PER_SECOND = 1000
@@ -10,8 +10,8 @@
 }
 
 /** Makes upstreams advertise these limits from now on, and all others none. */
-export function advertiseLimits ({ relayed }: FakeFleet, limits: Readonly<Record<string, number>>): void {
-  relayed.signalsOf = (upstream) => {
+export function advertiseLimits ({ relayedUpstreams }: FakeFleet, limits: Readonly<Record<string, number>>): void {
+  relayedUpstreams.signalsOf = (upstream) => {
     const perSecond = limits[upstream]
     return perSecond === undefined ? {} : { rateLimit: { perSecond, text: String(perSecond) } }
   }
@@ -29,7 +29,7 @@
 
 /** Outcome of a request. */
 export interface Outcome {
-  caller: KeepingCaller
+  caller: FakeRelayCaller
   heldMs: number
 }
 
@@ -50,8 +50,8 @@
 }
 
 /** Requests that reached an upstream since a given time. */
-export function arrivalsAt ({ relayed }: FakeFleet, upstream: string, sinceMs: number): RelayedArrival[] {
-  return relayed.arrivals.filter((arrival) => arrival.upstream === upstream && arrival.atMs >= sinceMs)
+export function arrivalsAt ({ relayedUpstreams }: FakeFleet, upstream: string, sinceMs: number): RelayedArrival[] {
+  return relayedUpstreams.arrivals.filter((arrival) => arrival.upstream === upstream && arrival.atMs >= sinceMs)
 }
 
 /** A limit that an upstream advertises without later changes. */
@@ -69,5 +69,5 @@
 export function peakUsageAt (fleet: FakeFleet, upstream: string, { perSecond, advertisedAtMs, excludedAddresses = [] }: AdvertisedLimit): number {
   const counted = arrivalsAt(fleet, upstream, advertisedAtMs + PROPAGATION_MS).filter(({ from }) => !excludedAddresses.includes(from))
   const runs = counted.map(({ atMs }) => ({ atMs, cost: 1 }))
-  return fullestWindow(runs, ruleOf(perSecond))
+  return maxWindowUsage(runs, ruleOf(perSecond))
 }
--- a/box/runtime/test/__utils__/signallingUpstreams.ts
+++ b/box/runtime/test/__utils__/signallingUpstreams.ts
@@ -29,9 +29,9 @@
 }
 
 /** Makes upstreams advertise draining in every response from now on. The fleet list does not show it. */
-export function drain ({ relayed, clock }: FakeFleet, upstreams: readonly string[]): Advertisements {
+export function drain ({ relayedUpstreams, clock }: FakeFleet, upstreams: readonly string[]): Advertisements {
   const advertised = new Advertisements()
-  relayed.signalsOf = (upstream, box) => {
+  relayedUpstreams.signalsOf = (upstream, box) => {
     if (!upstreams.includes(upstream)) return {}
     advertised.record(upstream, box, clock.nowMs())
     return { draining: { draining: true, text: '1' } }
@@ -40,8 +40,8 @@
 }
 
 /** Requests that reached draining upstreams from boxes that must already have known it. */
-export function arrivalsAfterDrain ({ relayed }: FakeFleet, advertised: Advertisements): RelayedArrival[] {
-  return relayed.arrivals.filter((arrival) => advertised.all(arrival).some((atMs) => arrival.atMs > atMs + DRAIN_MS))
+export function arrivalsAfterDrain ({ relayedUpstreams }: FakeFleet, advertised: Advertisements): RelayedArrival[] {
+  return relayedUpstreams.arrivals.filter((arrival) => advertised.all(arrival).some((atMs) => arrival.atMs > atMs + DRAIN_MS))
 }
 
 export interface BackoffOptions {
@@ -53,11 +53,11 @@
 }
 
 /** Makes upstreams refuse every request with 503 and a backoff. */
-export function refuseWithBackoff ({ relayed, clock }: FakeFleet, upstreams: readonly string[], { durationMs, untilMs = Number.POSITIVE_INFINITY, boxes }: BackoffOptions): Advertisements {
+export function refuseWithBackoff ({ relayedUpstreams, clock }: FakeFleet, upstreams: readonly string[], { durationMs, untilMs = Number.POSITIVE_INFINITY, boxes }: BackoffOptions): Advertisements {
   const advertised = new Advertisements()
   const refuses = (upstream: string, box: string) => upstreams.includes(upstream) && clock.nowMs() < untilMs && (boxes?.includes(box) ?? true)
-  relayed.refusalStatusOf = (upstream, box) => refuses(upstream, box) ? 503 : undefined
-  relayed.signalsOf = (upstream, box) => {
+  relayedUpstreams.refusalStatusOf = (upstream, box) => refuses(upstream, box) ? 503 : undefined
+  relayedUpstreams.signalsOf = (upstream, box) => {
     if (!refuses(upstream, box)) return {}
     advertised.record(upstream, box, clock.nowMs())
     return { backoff: { durationMs, text: String(durationMs / 1000) } }
@@ -66,8 +66,8 @@
 }
 
 /** The most requests that any of the upstreams got from a box during a backoff that it had asked of that box. */
-export function mostInBackoff ({ relayed }: FakeFleet, advertised: Advertisements, { upstreams, durationMs }: { upstreams: readonly string[], durationMs: number }): number {
-  const arrivals = relayed.arrivals.filter(({ upstream }) => upstreams.includes(upstream))
+export function mostInBackoff ({ relayedUpstreams }: FakeFleet, advertised: Advertisements, { upstreams, durationMs }: { upstreams: readonly string[], durationMs: number }): number {
+  const arrivals = relayedUpstreams.arrivals.filter(({ upstream }) => upstreams.includes(upstream))
   const counts = arrivals.flatMap((first) => advertised.all(first).map((atMs) => arrivals.filter(({ upstream, from, atMs: arrivedAtMs }) =>
     upstream === first.upstream && from === first.from && arrivedAtMs > atMs + IN_FLIGHT_MS && arrivedAtMs < atMs + durationMs).length))
   return Math.max(0, ...counts)
--- a/box/runtime/test/accounts.ts
+++ b/box/runtime/test/accounts.ts
@@ -3,7 +3,7 @@
 import { ErrorCode, Verdict } from '@reelspan/core.error'
 import { Collection } from '@reelspan/core.messages'
 import { FakeFleet, type FakeFleetOptions } from '@reelspan/utils.fake-fleet'
-import { fullestWindow, type PublishedEntry, tuulDeclarations } from '@reelspan/utils.fakes'
+import { maxWindowUsage, type PublishedEntry, sampleDeclarations } from '@reelspan/utils.fakes'
 import test from 'ava'
 
 const HOST = 'scripts.example'
@@ -23,7 +23,7 @@
 }
 
 async function startFleet (opts: FakeFleetOptions = {}, account = accountWith(['k1', 'k2'])): Promise<FakeFleet> {
-  return new FakeFleet({ settings: SETTINGS, declarations: [...tuulDeclarations(), ROUTE, account], ...opts }).start()
+  return new FakeFleet({ settings: SETTINGS, declarations: [...sampleDeclarations(), ROUTE, account], ...opts }).start()
 }
 
 let nextId = 0
@@ -54,7 +54,7 @@
 test('boxes that cannot reach the platform renew their freshness proof through peers, and apply revocations', async (t) => {
   const fleet = await startFleet()
   const cutOff = fleet.boxes.slice(0, 3)
-  cutOff.forEach(({ address }) => fleet.platform.silentTo.add(address))
+  cutOff.forEach(({ address }) => fleet.platform.unresponsiveTo.add(address))
   await fleet.clock.advance(2 * KEY_PROOF_MS)
   revokeKey(fleet)
   await fleet.clock.advance(1500)
@@ -68,25 +68,25 @@
 test('an isolated box refuses a revoked key once its freshness proof has expired, and refuses other keys as not run', async (t) => {
   const fleet = await startFleet()
   const { name, address } = fleet.boxes[0]
-  fleet.cutOff(name)
-  fleet.platform.silentTo.add(address)
+  fleet.isolate(name)
+  fleet.platform.unresponsiveTo.add(address)
   revokeKey(fleet)
   await fleet.clock.advance(KEY_PROOF_MS)
   const late = await fleet.clock.run(sendRequest(fleet, name, 'k1'))
   t.like(late.refused, { code: ErrorCode.AccountsUnproved, verdict: Verdict.NotRun })
   t.true((late.refused?.retryAfterMs ?? 0) > 0)
   t.is(await refusalCode(fleet, name, 'k2'), ErrorCode.AccountsUnproved)
-  t.false(fleet.box(name).box.admission.isProved)
+  t.false(fleet.box(name).box.admission.hasFreshProof)
   await fleet.stop()
 })
 
 test('boxes that reach only each other lose their freshness proof after the bound', async (t) => {
   const fleet = await startFleet()
-  fleet.boxes.forEach(({ address }) => fleet.platform.silentTo.add(address))
+  fleet.boxes.forEach(({ address }) => fleet.platform.unresponsiveTo.add(address))
   revokeKey(fleet)
   await fleet.clock.advance(KEY_PROOF_MS)
   for (const { name } of fleet.boxes) t.is(await refusalCode(fleet, name, 'k1'), ErrorCode.AccountsUnproved)
-  fleet.platform.silentTo.clear()
+  fleet.platform.unresponsiveTo.clear()
   await fleet.clock.advance(2500)
   for (const { name } of fleet.boxes) t.is(await refusalCode(fleet, name, 'k2'), undefined)
   await fleet.stop()
@@ -110,14 +110,14 @@
   revokeKey(fleet)
   await fleet.clock.run(suspended)
   // In production the clock watch calls this when it sees the wall clock jump.
-  void box.wasSuspended(KEY_PROOF_MS + 1000)
+  void box.handleClockJump(KEY_PROOF_MS + 1000)
   t.not(await refusalCode(fleet, name, 'k1'), undefined)
   await fleet.stop()
 })
 
 test('a box that starts during a platform outage has no freshness proof, whatever configuration it gets from peers', async (t) => {
   const fleet = await startFleet()
-  fleet.boxes.forEach(({ address }) => fleet.platform.silentTo.add(address))
+  fleet.boxes.forEach(({ address }) => fleet.platform.unresponsiveTo.add(address))
   await fleet.clock.advance(KEY_PROOF_MS)
   const { name } = fleet.boxes[0]
   fleet.kill(name)
@@ -143,8 +143,8 @@
     callers.push(sendRequest(fleet, up[i % up.length].name, 'k1'))
   }
   await fleet.clock.run(Promise.all([restarts, ...callers]))
-  const runs = fleet.relayed.arrivals.map(({ sentAtMs }) => ({ atMs: sentAtMs - from, cost: 1 }))
-  t.true(fullestWindow(runs, { perSecond: PER_SECOND, burst: BURST, windowMs: 8000, overage: 0.25, slack: BURST }) <= 1)
+  const runs = fleet.relayedUpstreams.arrivals.map(({ sentAtMs }) => ({ atMs: sentAtMs - from, cost: 1 }))
+  t.true(maxWindowUsage(runs, { perSecond: PER_SECOND, burst: BURST, windowMs: 8000, overage: 0.25, slack: BURST }) <= 1)
   t.true(runs.length > 0.9 * 10 * PER_SECOND)
   await fleet.stop()
 })
--- a/box/runtime/test/wholeAnswers.ts
+++ b/box/runtime/test/answerIntegrity.ts
@@ -52,7 +52,7 @@
   const request = fleet.completion('box-1', PROMPT)
   const first = fleet.send('box-2', request)
   await fleet.clock.advance(600)
-  fleet.network.cutBoth(fleet.address('box-1'), fleet.address('box-2'))
+  fleet.network.blockBoth(fleet.address('box-1'), fleet.address('box-2'))
   const retry = fleet.send('box-3', request)
   t.is((await fleet.clock.run(retry)).text, expectedAnswer(PROMPT, 64))
   fleet.network.healAll()
--- a/box/runtime/test/crashingRequest.ts
+++ b/box/runtime/test/crashingRequest.ts
@@ -4,7 +4,7 @@
 // for a second, but nothing tracked the request, so each repetition was placed as a new one with `attempt=1`.
 import { ErrorCode, Verdict } from '@reelspan/core.error'
 import { QUARANTINE_MS } from '@reelspan/request.quarantine'
-import { FakeFleet, type KeepingCaller } from '@reelspan/utils.fake-fleet'
+import { FakeFleet, type FakeRelayCaller } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
 import { lateAttempts, PROPAGATION_MS, HOST, MAX_LATE_ATTEMPTS, repeatRequest, SERVICES, startFleet } from './__utils__/crashingRequests.js'
 
@@ -12,8 +12,8 @@
 const CRASHING = { times: 20, everyMs: 900 }
 
 /** Number of upstreams that exited while they ran a target. */
-function countEnded ({ relayed }: FakeFleet, target: string): number {
-  return relayed.endedUnder.filter((ended) => ended.target === target).length
+function countEnded ({ relayedUpstreams }: FakeFleet, target: string): number {
+  return relayedUpstreams.crashes.filter((ended) => ended.target === target).length
 }
 
 test('a stream that has crashed three engines is no longer sent to engines, whichever box receives it', async (t) => {
@@ -45,12 +45,12 @@
   }
   await crashing
   const again = await fleet.clock.run(fleet.relay('box-1', { id: 'again', host: HOST, target: '/draft/other-7' }))
-  t.true(again.whole)
+  t.true(again.complete)
   await fleet.stop()
 })
 
 /** Callers refused because their request is quarantined. */
-function quarantinedCallers (callers: readonly KeepingCaller[]): KeepingCaller[] {
+function quarantinedCallers (callers: readonly FakeRelayCaller[]): FakeRelayCaller[] {
   return callers.filter(({ refused }) => refused?.code === ErrorCode.RequestQuarantined)
 }
 
@@ -66,7 +66,7 @@
   t.true(refused.length >= CRASHING.times - 3 - MAX_LATE_ATTEMPTS)
   t.deepEqual([...new Set(refused.map((caller) => caller.refused?.verdict))], [Verdict.NotRun])
   refused.forEach(({ refused: final }) => t.true((final?.retryAfterMs ?? 0) > 0 && (final?.retryAfterMs ?? 0) <= QUARANTINE_MS))
-  const sent = new Set(fleet.relayed.arrivals.filter(({ target }) => target === '/draft/ends').map(({ id }) => id))
+  const sent = new Set(fleet.relayedUpstreams.arrivals.filter(({ target }) => target === '/draft/ends').map(({ id }) => id))
   t.is(sent.size, CRASHING.times - refused.length)
   await fleet.stop()
 })
@@ -86,7 +86,7 @@
     ended.push(fleet.clock.nowMs())
     void fleet.crash(engine)
   }
-  const fleet: FakeFleet = new FakeFleet({ seed: 1, engine: { onRun } })
+  const fleet: FakeFleet = new FakeFleet({ seed: 1, engine: { onDecodeStarted: onRun } })
   await fleet.start()
   for (let i = 0; i < 12; i++) {
     const box = `box-${1 + i % 8}`
@@ -115,7 +115,7 @@
     const fleet = await startFleet({ seed })
     const cutOff = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a').map(({ name }) => name)
     const others = fleet.boxes.map(({ name }) => name).filter((name) => !cutOff.includes(name))
-    fleet.cutOffZone('hall-a')
+    fleet.isolateZone('hall-a')
     await repeatRequest(fleet, { target: '/draft/ends', times: 6, everyMs: 900, boxes: others })
     t.true(boxesWithQuarantine(fleet).every((name) => others.includes(name)))
     fleet.network.healAll()
@@ -134,7 +134,7 @@
   const fleet = await startFleet()
   const [unreached, ...rest] = fleet.boxes
   const others = rest.filter(({ address }) => address !== unreached.address)
-  others.forEach(({ address }) => fleet.network.cut(address, unreached.address))
+  others.forEach(({ address }) => fleet.network.block(address, unreached.address))
   await repeatRequest(fleet, { target: '/draft/ends', times: 3, everyMs: 400, boxes: others.map(({ name }) => name) })
   fleet.network.healAll()
   await fleet.clock.advance(PROPAGATION_MS)
@@ -144,7 +144,7 @@
 
 test('a request that crashes upstreams for one caller is still served for another caller', async (t) => {
   const fleet = await startFleet()
-  fleet.relayed.endsUpstream = ({ target, callerAddress }) => target.includes('ends') && callerAddress === '10.9.0.1'
+  fleet.relayedUpstreams.crashesUpstream = ({ target, callerAddress }) => target.includes('ends') && callerAddress === '10.9.0.1'
   const otherCaller = repeatRequest(fleet, { target: '/status/ends', times: 40, everyMs: 450, callerAddress: '10.9.0.2' })
   await fleet.clock.advance(100)
   const crashing = await repeatRequest(fleet, { ...CRASHING, target: '/status/ends', callerAddress: '10.9.0.1' })
@@ -160,7 +160,7 @@
   await crashing
   t.deepEqual(quarantinedCallers(beside), [])
   const after = await fleet.clock.run(fleet.relay('box-3', { id: 'after', host: HOST, target: '/draft/beside', callerAddress: '10.9.0.2' }))
-  t.true(after.whole)
+  t.true(after.complete)
   await fleet.stop()
 })
 
@@ -172,7 +172,7 @@
   await fleet.clock.run(Promise.all(running))
   await fleet.clock.advance(5000)
   const after = await fleet.clock.run(fleet.relay('box-3', { id: 'after', host: HOST, target: '/status/popular' }))
-  t.true(after.whole)
+  t.true(after.complete)
   await fleet.stop()
 })
 
--- a/box/runtime/test/drainingUpstream.ts
+++ b/box/runtime/test/drainingUpstream.ts
@@ -39,14 +39,14 @@
     const propagatedAtMs = fleet.clock.nowMs()
     const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 8 })
     t.deepEqual(arrivalsAt(fleet, 'desk-1', propagatedAtMs), [])
-    t.true(outcomes.every(({ caller }) => caller.whole))
+    t.true(outcomes.every(({ caller }) => caller.complete))
     await fleet.stop()
   })
 }
 
 test('a box that restarted or was isolated learns of a draining upstream from the others', async (t) => {
   const fleet = await startFleet()
-  fleet.cutOff('box-2')
+  fleet.isolate('box-2')
   drain(fleet, ['desk-1'])
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 3, boxes: ['box-1'], name: 'first' })
   fleet.network.healAll()
@@ -64,7 +64,7 @@
   const running = load(fleet, { target: '/draft/', perSecond: 15, seconds: 1, name: 'before' })
   drain(fleet, DECODE_ENGINES.slice(1))
   const outcomes = await running
-  t.true(outcomes.every(({ caller }) => caller.whole), JSON.stringify(outcomes.map(({ caller }) => caller.refused)))
+  t.true(outcomes.every(({ caller }) => caller.complete), JSON.stringify(outcomes.map(({ caller }) => caller.refused)))
   await fleet.stop()
 })
 
@@ -73,9 +73,9 @@
     const fleet = await startFleet()
     drain(fleet, upstreams)
     await load(fleet, { target, perSecond: 60, seconds: 8, name: 'first' })
-    const arrivals = fleet.relayed.arrivals.length
+    const arrivals = fleet.relayedUpstreams.arrivals.length
     const outcomes = await load(fleet, { target, perSecond: 20, seconds: 2 })
-    t.is(fleet.relayed.arrivals.length, arrivals)
+    t.is(fleet.relayedUpstreams.arrivals.length, arrivals)
     outcomes.forEach(({ caller: { refused }, heldMs }) => {
       t.is(refused?.verdict, Verdict.NotRun)
       t.true((refused?.retryAfterMs ?? 0) > 0)
@@ -95,7 +95,7 @@
   listAgain(fleet, 'desk-1@2')
   await fleet.clock.advance(PROPAGATION_MS)
   await load(fleet, { target: '/status/', perSecond: 40, seconds: 3, name: 'again' })
-  t.true(fleet.relayed.arrivals.some(({ upstream }) => upstream === 'desk-1@2'))
+  t.true(fleet.relayedUpstreams.arrivals.some(({ upstream }) => upstream === 'desk-1@2'))
   await fleet.stop()
 })
 
--- a/box/runtime/test/failedCalls.ts
+++ b/box/runtime/test/failedCalls.ts
@@ -26,7 +26,7 @@
   fleet.platform.publish(Collection.Declarations, [])
   await fleet.clock.advance(50)
   // The others have the new revision or know of it from heartbeats; it can no longer be pulled from any peer.
-  fleet.boxes.forEach(({ address }, i) => fleet.boxes.slice(i + 1).forEach((other) => fleet.network.cutBoth(address, other.address)))
+  fleet.boxes.forEach(({ address }, i) => fleet.boxes.slice(i + 1).forEach((other) => fleet.network.blockBoth(address, other.address)))
   await fleet.clock.advance(3000)
   const pulls = fleet.boxes.flatMap((box) => logFieldsOf(box, LogEvent.PeerCallFailed)).filter(({ call }) => call === MessageType.ConfigPull)
   t.true(pulls.length > 0)
@@ -45,7 +45,7 @@
 test('a fleet under injected faults logs no failed task', async (t) => {
   const fleet = await new FakeFleet().start()
   fleet.kill('box-2')
-  fleet.cutOff('box-3')
+  fleet.isolate('box-3')
   fleet.killEngine([...fleet.engines.values()][0].name)
   fleet.platform.outage = true
   await fleet.clock.advance(20_000)
--- a/box/runtime/test/failureLog.ts
+++ b/box/runtime/test/failureLog.ts
@@ -2,14 +2,14 @@
 import { LogEvent } from '@reelspan/telemetry.log'
 import { Metrics } from '@reelspan/telemetry.metrics'
 import { VirtualClock } from '@reelspan/utils.fakes'
-import { SilentLog } from '@reelspan/utils.fake-fleet'
+import { RecordingLog } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
 
 const MINUTE_MS = 60_000
 
 function createFailureLog () {
   const clock = new VirtualClock()
-  const log = new SilentLog()
+  const log = new RecordingLog()
   const metrics = new Metrics()
   return { clock, log, metrics, failures: new FailureLog({ clock, log, metrics }) }
 }
--- a/box/runtime/test/fleetChangeLogger.ts
+++ b/box/runtime/test/fleetChangeLogger.ts
@@ -1,7 +1,7 @@
 import { FleetChangeLogger } from '@reelspan/box.runtime'
-import { FleetList, GuardedFleet, type ListedUpstream, UpstreamKind } from '@reelspan/config.fleet'
+import { FleetList, ReconciledFleet, type ListedUpstream, UpstreamKind } from '@reelspan/config.fleet'
 import { LogEvent } from '@reelspan/telemetry.log'
-import { SilentLog } from '@reelspan/utils.fake-fleet'
+import { RecordingLog } from '@reelspan/utils.fake-fleet'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
@@ -12,8 +12,8 @@
 function createChanges () {
   const listed = { value: new FleetList([], []), revision: 0 }
   const guard = { lapsed: false }
-  const log = new SilentLog()
-  const fleet = new GuardedFleet({ clock: new VirtualClock(), listed, mayHaveLapsed: () => guard.lapsed })
+  const log = new RecordingLog()
+  const fleet = new ReconciledFleet({ clock: new VirtualClock(), listed, mayHaveExpired: () => guard.lapsed })
   const changes = new FleetChangeLogger({ fleet, log, platformSilentMs: () => 1234.5 })
   const list = (...upstreams: ListedUpstream[]) => {
     Object.assign(listed, { value: new FleetList([], upstreams), revision: listed.revision + 1 })
--- a/box/runtime/test/holds.ts
+++ b/box/runtime/test/holds.ts
@@ -60,7 +60,7 @@
   const request = fleet.completion(owner, LONG_PROMPT, { maxTokens: 5000, deadlineMs: 8000 })
   void fleet.send(owner, request)
   await fleet.clock.advance(700)
-  fleet.cutOff(owner)
+  fleet.isolate(owner)
   await checkReleasedWithin(t, fleet, 10_000)
   await fleet.stop()
 })
@@ -102,7 +102,7 @@
   const owner = otherBox(fleet)
   const { request } = await startLongCompletion(fleet, owner)
   const engine = fleet.holds()[0].engine
-  fleet.network.cutBoth(fleet.address(owner), fleet.address(engine))
+  fleet.network.blockBoth(fleet.address(owner), fleet.address(engine))
   fleet.box(owner).box.cancel(request.key)
   await checkReleasedWithin(t, fleet, 3000)
   await fleet.stop()
--- a/box/runtime/test/membership.ts
+++ b/box/runtime/test/membership.ts
@@ -14,7 +14,7 @@
 
 test('every box suspects an unresponsive box within three seconds', async (t) => {
   const fleet = await new FakeFleet().start()
-  fleet.cutOff('box-3')
+  fleet.isolate('box-3')
   await fleet.clock.advance(3000)
   t.deepEqual(new Set(healthOf(fleet, 'box-3')), new Set([MemberHealth.Suspect]))
   await fleet.stop()
@@ -44,7 +44,7 @@
   const fleet = await new FakeFleet().start()
   const zoneA = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a')
   const rest = fleet.boxes.filter(({ availabilityZone }) => availabilityZone !== 'hall-a')
-  zoneA.forEach((a) => rest.forEach((b) => fleet.network.cutBoth(a.address, b.address)))
+  zoneA.forEach((a) => rest.forEach((b) => fleet.network.blockBoth(a.address, b.address)))
   await fleet.clock.advance(180_000)
   t.is(zoneA[0].box.describe().members.filter(({ health }) => health === MemberHealth.Alive).length, zoneA.length)
   fleet.network.healAll()
@@ -56,7 +56,7 @@
 
 test('a one-way cut between two boxes is worked around by indirect probes', async (t) => {
   const fleet = await new FakeFleet().start()
-  fleet.network.cut(fleet.address('box-1'), fleet.address('box-2'))
+  fleet.network.block(fleet.address('box-1'), fleet.address('box-2'))
   await fleet.clock.advance(10_000)
   t.deepEqual(new Set(healthOf(fleet, 'box-2')), new Set([MemberHealth.Alive]))
   await fleet.stop()
@@ -66,7 +66,7 @@
   const others = ['box-2', 'box-3', 'box-4', 'box-5', 'box-6', 'box-7', 'box-8']
   for (const name of others) {
     const fleet = await new FakeFleet().start()
-    fleet.network.cut(fleet.address('box-1'), fleet.address(name))
+    fleet.network.block(fleet.address('box-1'), fleet.address(name))
     await fleet.clock.advance(5000)
     const suspicions = fleet.boxes.flatMap(({ log }) => log.entries.filter(({ fields }) => fields?.health === MemberHealth.Suspect))
     t.deepEqual(suspicions, [])
--- a/box/runtime/test/onceOnly.ts
+++ b/box/runtime/test/notRepeatableRequests.ts
@@ -74,7 +74,7 @@
 
 test('duplicated messages between boxes do not run a booking twice', async (t) => {
   const fleet = await new FakeFleet().start()
-  fleet.network.doubledShare = 1
+  fleet.network.duplicateShare = 1
   const key = fleet.key('box-1')
   const outcomes = await fleet.clock.run(Promise.all(['box-2', 'box-3'].map((name) => fleet.send(name, fleet.booking(key)))))
   t.true(outcomes.every(({ verdict }) => verdict === Verdict.Finished))
--- a/box/runtime/test/platformContactTracker.ts
+++ b/box/runtime/test/platformContactTracker.ts
@@ -1,14 +1,14 @@
 import { PlatformContactTracker } from '@reelspan/box.runtime'
-import { REENTRY_MS } from '@reelspan/config.fleet'
+import { REREGISTRATION_MS } from '@reelspan/config.fleet'
 import { Collection } from '@reelspan/core.messages'
 import { LogEvent } from '@reelspan/telemetry.log'
 import { VirtualClock } from '@reelspan/utils.fakes'
-import { SilentLog } from '@reelspan/utils.fake-fleet'
+import { RecordingLog } from '@reelspan/utils.fake-fleet'
 import test from 'ava'
 
 function createTracker ({ isWatcher = true, lastAnswerMs = Number.NEGATIVE_INFINITY } = {}) {
   const clock = new VirtualClock()
-  const log = new SilentLog()
+  const log = new RecordingLog()
   return { clock, log, tracker: new PlatformContactTracker({ clock, log, isWatcher: () => isWatcher, lastAnswerMs: () => lastAnswerMs }) }
 }
 
@@ -23,7 +23,7 @@
   tracker.recordReachability(true, { collection: Collection.Fleet, silentMs: 5000 })
   t.true(tracker.mayHaveExpired)
   t.is(calls, 1)
-  await clock.advance(REENTRY_MS)
+  await clock.advance(REREGISTRATION_MS)
   t.false(tracker.mayHaveExpired)
 })
 
@@ -44,7 +44,7 @@
 
 test('no entries expire while the platform answers other boxes, even if this box cannot reach it', async (t) => {
   const { clock, tracker } = createTracker({ isWatcher: false })
-  tracker.answered()
+  tracker.recordAnswer()
   tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 100, reason: 'reset' })
   for (let i = 0; i < 20; i++) {
     await clock.advance(700)
@@ -63,32 +63,32 @@
   t.true(tracker.mayHaveExpired)
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
   t.true(tracker.mayHaveExpired, 'upstreams may still register again')
-  await clock.advance(REENTRY_MS)
+  await clock.advance(REREGISTRATION_MS)
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 0 })
   t.false(tracker.mayHaveExpired)
 })
 
 test('a pending watch counts as contact until it fails', async (t) => {
   const { clock, tracker } = createTracker()
-  tracker.answered()
+  tracker.recordAnswer()
   await clock.advance(20_000)
-  t.is(tracker.silentMs, 0)
+  t.is(tracker.sinceContactMs, 0)
   tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 4000 })
-  t.is(tracker.silentMs, 4000)
+  t.is(tracker.sinceContactMs, 4000)
   t.true(tracker.mayHaveExpired)
 })
 
 test('the first answer ends no outage', (t) => {
   const { tracker } = createTracker({ isWatcher: false })
-  t.is(tracker.silentMs, undefined)
-  tracker.answered()
-  t.is(tracker.silentMs, 0)
+  t.is(tracker.sinceContactMs, undefined)
+  tracker.recordAnswer()
+  t.is(tracker.sinceContactMs, 0)
   t.false(tracker.mayHaveExpired)
 })
 
 test('a peer that kept contact shows that nothing expired while this box had no contact', async (t) => {
   const { clock, tracker } = createTracker()
-  tracker.answered()
+  tracker.recordAnswer()
   await clock.advance(5000)
   tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 5000, reason: 'reset' })
   t.true(tracker.mayHaveExpired)
@@ -104,11 +104,11 @@
   const { clock, tracker } = createTracker({ isWatcher: false })
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
   await clock.advance(8000)
-  tracker.answered()
+  tracker.recordAnswer()
   await clock.advance(500)
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 2000 })
   t.true(tracker.mayHaveExpired)
-  await clock.advance(REENTRY_MS - 2000)
+  await clock.advance(REREGISTRATION_MS - 2000)
   t.false(tracker.mayHaveExpired)
 })
 
@@ -116,20 +116,20 @@
   const { clock, tracker } = createTracker({ isWatcher: false })
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 0, answeringMs: 60_000 })
   await clock.advance(8000)
-  tracker.answered()
+  tracker.recordAnswer()
   tracker.receivePeerReport({ silentMs: 8000, answeredMs: 8000, answeringMs: 70_000 })
   t.true(tracker.mayHaveExpired)
-  t.is(tracker.silentMs, 0)
+  t.is(tracker.sinceContactMs, 0)
 })
 
 test('a failed watch does not count as contact, whatever peers reported meanwhile', async (t) => {
   const { clock, tracker } = createTracker()
-  tracker.answered()
+  tracker.recordAnswer()
   await clock.advance(2000)
   tracker.receivePeerReport({ silentMs: 1500, answeredMs: 1500, answeringMs: 30_000 })
   await clock.advance(2000)
   tracker.recordReachability(false, { collection: Collection.Fleet, silentMs: 4000 })
-  t.is(tracker.silentMs, 3500)
+  t.is(tracker.sinceContactMs, 3500)
 })
 
 test('a peer whose watch has not failed yet does not shorten an outage', async (t) => {
@@ -139,6 +139,6 @@
   tracker.receivePeerReport({ silentMs: 0, answeredMs: 2900, answeringMs: 62_900 })
   t.false(tracker.mayHaveExpired, 'no box has detected an outage')
   await clock.advance(2000)
-  tracker.answered()
+  tracker.recordAnswer()
   t.true(tracker.mayHaveExpired, 'the platform answered no box for 4.9 s')
 })
--- a/box/runtime/test/platformOutage.ts
+++ b/box/runtime/test/platformOutage.ts
@@ -17,10 +17,10 @@
   for (const seed of SEEDS) {
     const fleet = await new FakeFleet({ seed, settings: PLATFORM_SETTINGS }).start()
     await fleet.clock.advance(5000 + 530 * seed)
-    fleet.everyAddress().forEach((address) => fleet.platform.silentTo.add(address))
+    fleet.allAddresses().forEach((address) => fleet.platform.unresponsiveTo.add(address))
     await fleet.clock.advance(outageMs)
     fleet.platform.publish(Collection.Fleet, [{ kind: FleetEntryKind.Upstream, name: 'desk-2', spec: null }])
-    fleet.platform.silentTo.clear()
+    fleet.platform.unresponsiveTo.clear()
     await fleet.clock.advance(SOON_AFTER_MS)
     const boxesWithoutUpstream = fleet.boxes.filter(({ box }) => !box.listsUpstream('desk-2')).map(({ name }) => name)
     t.deepEqual(boxesWithoutUpstream, [], `seed ${seed}`)
--- a/box/runtime/test/platformUnreachable.ts
+++ b/box/runtime/test/platformUnreachable.ts
@@ -25,7 +25,7 @@
 }
 
 function blockPlatform (fleet: FakeFleet, addresses: readonly string[]): void {
-  addresses.forEach((address) => fleet.platform.silentTo.add(address))
+  addresses.forEach((address) => fleet.platform.unresponsiveTo.add(address))
 }
 
 /** Removes an upstream's entry without a preceding draining state. */
@@ -59,11 +59,11 @@
     const fleet = await startFleet(seed)
     const cutOff = fleet.boxAddresses('hall-a')
     blockPlatform(fleet, cutOff)
-    fleet.cutOffZone('hall-a')
+    fleet.isolateZone('hall-a')
     await fleet.clock.advance(4000)
     removeUpstream(fleet, 'desk-2')
     await fleet.clock.advance(9000)
-    fleet.platform.silentTo.clear()
+    fleet.platform.unresponsiveTo.clear()
     fleet.network.healAll()
     await fleet.clock.advance(REMOVAL_BOUND_MS)
     t.deepEqual(boxesListing(fleet, 'desk-2', cutOff), [], `seed ${seed}`)
@@ -74,13 +74,13 @@
 test('an upstream that is removed soon after a platform outage is not kept as an expired entry', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet(seed, 1)
-    blockPlatform(fleet, fleet.everyAddress())
+    blockPlatform(fleet, fleet.allAddresses())
     await fleet.clock.advance(8000)
-    fleet.platform.silentTo.clear()
+    fleet.platform.unresponsiveTo.clear()
     await fleet.clock.advance(STABLE_AFTER_MS)
     removeUpstream(fleet, 'desk-2')
     await fleet.clock.advance(REMOVAL_BOUND_MS)
-    t.deepEqual(boxesListing(fleet, 'desk-2', fleet.everyAddress()), [], `seed ${seed}`)
+    t.deepEqual(boxesListing(fleet, 'desk-2', fleet.allAddresses()), [], `seed ${seed}`)
     await fleet.stop()
   }
 })
@@ -88,7 +88,7 @@
 test('all boxes see isolated boxes as members again soon after the network has healed', async (t) => {
   for (const seed of SEEDS) {
     const fleet = await startFleet(seed)
-    fleet.cutOffZone('hall-a')
+    fleet.isolateZone('hall-a')
     await fleet.clock.advance(13_000)
     fleet.network.healAll()
     await fleet.clock.advance(HEALED_WITHIN_MS)
--- a/box/runtime/test/restoredPlatform.ts
+++ b/box/runtime/test/restoredPlatform.ts
@@ -41,7 +41,7 @@
 }
 
 /** Restores the platform's store, after a short outage, from a copy that lacks the latest writes. */
-async function restoreFromCopy (fleet: FakeFleet, copy: ReturnType<FakeFleet['platform']['copy']>, { duringOutage, afterRestore }: RestoreSteps = {}): Promise<void> {
+async function restoreFromCopy (fleet: FakeFleet, copy: ReturnType<FakeFleet['platform']['snapshot']>, { duringOutage, afterRestore }: RestoreSteps = {}): Promise<void> {
   fleet.platform.outage = true
   duringOutage?.(fleet)
   await fleet.clock.advance(OUTAGE_MS)
@@ -57,7 +57,7 @@
 const OTHER_FAULTS: Record<string, RestoreSteps> = {
   'no other fault': {},
   'half of the boxes cut off from the platform': {
-    duringOutage: ({ boxes, platform }) => boxes.filter((_, i) => i % 2 === 0).forEach(({ address }) => platform.silentTo.add(address)),
+    duringOutage: ({ boxes, platform }) => boxes.filter((_, i) => i % 2 === 0).forEach(({ address }) => platform.unresponsiveTo.add(address)),
   },
   'some boxes restarted during the restore': {
     afterRestore: async (fleet) => {
@@ -67,7 +67,7 @@
     },
   },
   'an availability zone cut off until after the restore': {
-    duringOutage: (fleet) => fleet.cutOffZone('hall-b'),
+    duringOutage: (fleet) => fleet.isolateZone('hall-b'),
     afterRestore: async (fleet) => {
       await fleet.clock.advance(1000)
       fleet.network.healAll()
@@ -78,7 +78,7 @@
 for (const [boxCount, fault] of [[2, 'no other fault'], [60, 'no other fault'], ...Object.keys(OTHER_FAULTS).map((name) => [8, name] as const)] as const) {
   test(`${boxCount} boxes keep newer state when the platform is restored from an older copy, and adopt later writes, with ${fault}`, async (t) => {
     const fleet = await startFleet({ boxCount })
-    const copy = fleet.platform.copy()
+    const copy = fleet.platform.snapshot()
     const version = await writeAfterCopy(fleet)
     t.deepEqual(versions(fleet), [version])
     await restoreFromCopy(fleet, copy, OTHER_FAULTS[fault])
@@ -88,7 +88,7 @@
     t.deepEqual(arrivalsAt(fleet, 'desk-1', restoredAtMs), [], 'draining before the restore')
     t.deepEqual(arrivalsAt(fleet, 'desk-2', restoredAtMs), [], 'removed before the restore')
     t.deepEqual(versions(fleet), [version])
-    t.true(outcomes.every(({ caller }) => caller.whole))
+    t.true(outcomes.every(({ caller }) => caller.complete))
 
     fleet.platform.publish(Collection.Fleet, [entryOf(fleet, 'desk-3', { leaving: true })])
     const next = publishVersion(fleet, 2300)
@@ -98,17 +98,17 @@
     const later = await load(fleet, { target: '/status/', perSecond: 40, seconds: 2, name: 'next' })
     t.deepEqual(arrivalsAt(fleet, 'desk-3', boundMs), [])
     t.deepEqual(arrivalsAt(fleet, 'desk-1', boundMs), [])
-    t.true(later.every(({ caller }) => caller.whole))
+    t.true(later.every(({ caller }) => caller.complete))
     await fleet.stop()
   })
 }
 
 test('boxes keep newer state after two restores in short succession, from copies of different age', async (t) => {
   const fleet = await startFleet()
-  const olderCopy = fleet.platform.copy()
+  const olderCopy = fleet.platform.snapshot()
   fleet.platform.publish(Collection.Fleet, [entryOf(fleet, 'desk-4', { leaving: true })])
   await fleet.clock.advance(500)
-  const newerCopy = fleet.platform.copy()
+  const newerCopy = fleet.platform.snapshot()
   const version = await writeAfterCopy(fleet)
   await restoreFromCopy(fleet, newerCopy)
   await fleet.clock.advance(700)
@@ -116,7 +116,7 @@
   const restoredAtMs = fleet.clock.nowMs()
   const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 3 });
   ['desk-1', 'desk-2', 'desk-4'].forEach((name) => t.deepEqual(arrivalsAt(fleet, name, restoredAtMs), [], name))
-  t.true(outcomes.every(({ caller }) => caller.whole))
+  t.true(outcomes.every(({ caller }) => caller.complete))
   t.deepEqual(versions(fleet), [version])
   const next = publishVersion(fleet, 2300)
   await fleet.clock.advance(CONFIG_DEADLINE_MS)
@@ -126,7 +126,7 @@
 
 test('boxes that all restart during the restore adopt later writes', async (t) => {
   const fleet = await startFleet()
-  const copy = fleet.platform.copy()
+  const copy = fleet.platform.snapshot()
   await writeAfterCopy(fleet)
   const names = fleet.liveBoxes().map(({ name }) => name)
   await restoreFromCopy(fleet, copy, {
@@ -147,7 +147,7 @@
 
 test('sixty boxes do not all read the platform at once after a restore', async (t) => {
   const fleet = await startFleet({ boxCount: 60 })
-  const copy = fleet.platform.copy()
+  const copy = fleet.platform.snapshot()
   await writeAfterCopy(fleet)
   await restoreFromCopy(fleet, copy)
   const callsBefore = fleet.platform.calls
--- a/box/runtime/test/retryAfter.ts
+++ b/box/runtime/test/retryAfter.ts
@@ -63,7 +63,7 @@
   const arrivals = arrivalsAt(fleet, 'desk-1', startMs + DURATION_MS)
   const peak = Math.max(...arrivals.map(({ atMs }) => arrivals.filter((other) => other.atMs >= atMs && other.atMs < atMs + 500).length))
   t.true(peak <= 2 * 30 / SERVICES.length, `${peak} in half a second`)
-  t.true(outcomes.every(({ caller }) => caller.whole))
+  t.true(outcomes.every(({ caller }) => caller.complete))
   await fleet.stop()
 })
 
@@ -73,7 +73,7 @@
   const advertised = refuseWithBackoff(fleet, SERVICES, { durationMs: DURATION_MS, boxes: [refused] })
   const sinceMs = fleet.clock.nowMs()
   await load(fleet, { target: '/status/', perSecond: 60, seconds: 6 })
-  const from = (address: string) => fleet.relayed.arrivals.filter((arrival) => arrival.atMs >= sinceMs && arrival.from === address).length
+  const from = (address: string) => fleet.relayedUpstreams.arrivals.filter((arrival) => arrival.atMs >= sinceMs && arrival.from === address).length
   t.true(advertised.count > 0)
   const others = fleet.liveBoxes().filter(({ name }) => name !== 'box-1')
   t.log(from(refused), others.map(({ address }) => from(address)))
@@ -84,9 +84,9 @@
 
 test('a refusal without Retry-After causes no backoff', async (t) => {
   const fleet = await startFleet()
-  fleet.relayed.refusalStatusOf = () => 503
+  fleet.relayedUpstreams.refusalStatusOf = () => 503
   const outcomes = await load(fleet, { target: '/status/', perSecond: 60, seconds: 3 })
   t.false(outcomes.some(({ caller }) => caller.refused?.code === ErrorCode.UpstreamBackoff))
-  t.true(fleet.relayed.arrivals.length > outcomes.length)
+  t.true(fleet.relayedUpstreams.arrivals.length > outcomes.length)
   await fleet.stop()
 })
--- a/box/runtime/test/suspendedMachine.ts
+++ b/box/runtime/test/suspendedMachine.ts
@@ -9,18 +9,18 @@
     const fleet = await new FakeFleet({ seed, settings: SETTINGS }).start()
     await fleet.clock.advance(130 * seed)
     const { box, clock } = fleet.box('box-1')
-    t.false(await fleet.clock.run(box.wasSuspended(SUSPENDED_MS)), `seed ${seed}, set`)
+    t.false(await fleet.clock.run(box.handleClockJump(SUSPENDED_MS)), `seed ${seed}, set`)
     await fleet.clock.run(clock.suspendFor(SUSPENDED_MS))
-    t.true(await fleet.clock.run(box.wasSuspended(SUSPENDED_MS)), `seed ${seed}, suspended`)
+    t.true(await fleet.clock.run(box.handleClockJump(SUSPENDED_MS)), `seed ${seed}, suspended`)
     await fleet.clock.advance(2000)
-    t.false(await fleet.clock.run(box.wasSuspended(SUSPENDED_MS)), `seed ${seed}, set later`)
+    t.false(await fleet.clock.run(box.handleClockJump(SUSPENDED_MS)), `seed ${seed}, set later`)
     await fleet.stop()
   }
 })
 
 test('a box that reaches no peer treats a wall clock jump as a suspension', async (t) => {
   const fleet = await new FakeFleet({ seed: 1, settings: SETTINGS }).start()
-  fleet.cutOff('box-1')
-  t.true(await fleet.clock.run(fleet.box('box-1').box.wasSuspended(SUSPENDED_MS)))
+  fleet.isolate('box-1')
+  t.true(await fleet.clock.run(fleet.box('box-1').box.handleClockJump(SUSPENDED_MS)))
   await fleet.stop()
 })
