--- a/box/runtime/test/upstreamLimitShared.ts
+++ b/box/runtime/test/upstreamLimitShared.ts
@@ -31,7 +31,7 @@
   t.deepEqual([...new Set(refusals.map(({ caller }) => caller.refused?.verdict))], [Verdict.NotRun])
   refusals.forEach(({ caller }) => t.true((caller.refused?.retryAfterMs ?? 0) > 0))
   t.true(Math.max(...refusals.map(({ heldMs }) => heldMs)) <= REFUSAL_BOUND_MS)
-  t.true(fleet.relayed.arrivals.length > 0)
+  t.true(fleet.relayedUpstreams.arrivals.length > 0)
 }
 
 for (const boxCount of [2, 8, 195]) {
@@ -75,7 +75,7 @@
     t.true(peak <= 1)
     t.true(taken >= MIN_USED_SHARE)
   })
-  const ran = new Set(fleet.relayed.arrivals.map(({ id }) => id))
+  const ran = new Set(fleet.relayedUpstreams.arrivals.map(({ id }) => id))
   refusedOutcomes(outcomes).forEach(({ caller }) => t.is(caller.refused?.verdict, Verdict.NotRun))
   t.is(outcomes.filter((_, i) => ran.has(`load-${i}`)).length, outcomes.length - refusedOutcomes(outcomes).length)
   await fleet.stop()
@@ -119,7 +119,7 @@
 test('an unreadable limit is ignored', async (t) => {
   const fleet = await startFleet()
   const advertisedAtMs = fleet.clock.nowMs()
-  fleet.relayed.signalsOf = (upstream) => upstream === 'desk-1' ? { rateLimit: { text: 'few' } } : {}
+  fleet.relayedUpstreams.signalsOf = (upstream) => upstream === 'desk-1' ? { rateLimit: { text: 'few' } } : {}
   const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 8 })
   t.deepEqual(refusedOutcomes(outcomes), [])
   t.true(usedShareAt(fleet, 'desk-1', 5, { advertisedAtMs, seconds: 5 }) >= MIN_USED_SHARE)
@@ -144,8 +144,8 @@
 
 test('retries count against limits, and a failed response is passed on if no retry is permitted', async (t) => {
   const fleet = await startFleet()
-  const run = fleet.relayed.run.bind(fleet.relayed)
-  fleet.relayed.run = (target, request, opts) => ({ ...run(target, request, opts), ...target.instance === 'desk-1' ? { status: 500 } : {} })
+  const run = fleet.relayedUpstreams.run.bind(fleet.relayedUpstreams)
+  fleet.relayedUpstreams.run = (target, request, opts) => ({ ...run(target, request, opts), ...target.instance === 'desk-1' ? { status: 500 } : {} })
   const advertisedAtMs = fleet.clock.nowMs()
   const others = SERVICES.filter((name) => name !== 'desk-1')
   advertiseLimits(fleet, Object.fromEntries(others.map((name) => [name, 2])))
@@ -169,7 +169,7 @@
   })()
   await load(fleet, { target: '/reply/', perSecond: 15, seconds: 12 })
   await crashes
-  const resumed = fleet.relayed.arrivals.filter(({ id, prefill }, i, all) => !prefill && all.some((one, j) => j < i && one.id === id && !one.prefill))
+  const resumed = fleet.relayedUpstreams.arrivals.filter(({ id, prefill }, i, all) => !prefill && all.some((one, j) => j < i && one.id === id && !one.prefill))
   t.true(resumed.length > 0)
   engines.forEach((upstream) => t.true(peakUsageAt(fleet, upstream, { perSecond: 1, advertisedAtMs }) <= 1, upstream))
   await fleet.stop()
@@ -186,7 +186,7 @@
     advertiseLimits(fleet, limitAllDesks(3))
     void fleet.relay('box-1', { id: 'first', host: HOST, target: '/once/first', prompt: undefined })
     await fleet.clock.advance(300)
-    const [{ upstream }] = fleet.relayed.arrivals
+    const [{ upstream }] = fleet.relayedUpstreams.arrivals
     t.is(boxesWithLimit(fleet, upstream).length, boxCount)
     await fleet.stop()
   })
@@ -195,7 +195,7 @@
 test('boxes that were isolated or have restarted learn of limits soon after they reach another box', async (t) => {
   const fleet = await startFleet()
   const inside = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a').map(({ name }) => name)
-  fleet.cutOffZone('hall-a')
+  fleet.isolateZone('hall-a')
   advertiseLimits(fleet, { 'desk-2': 3 })
   const outside = fleet.boxes.map(({ name }) => name).filter((name) => !inside.includes(name))
   await load(fleet, { target: '/status/', perSecond: 30, seconds: 2, boxes: outside })
@@ -242,13 +242,13 @@
       fleet.box(coordinator).clock.resume()
       return [coordinator]
     case Fault.CutCoordinator:
-      fleet.cutOff(coordinator)
+      fleet.isolate(coordinator)
       await clock.sleep(4000)
       fleet.network.healAll()
       return [coordinator]
     case Fault.CutZone: {
       const inside = fleet.boxes.filter(({ availabilityZone }) => availabilityZone === 'hall-a').map(({ name }) => name)
-      fleet.cutOffZone('hall-a')
+      fleet.isolateZone('hall-a')
       await clock.sleep(4000)
       fleet.network.healAll()
       return inside
--- a/box/runtime/test/upstreamReports.ts
+++ b/box/runtime/test/upstreamReports.ts
@@ -14,8 +14,8 @@
 async function countLostCalls (fleet: FakeFleet): Promise<number> {
   const down = fleet.address('desk-1')
   const downUntilMs = fleet.clock.nowMs() + DOWN_MS
-  const run = fleet.relayed.run.bind(fleet.relayed)
-  fleet.relayed.run = (target, request, opts) => {
+  const run = fleet.relayedUpstreams.run.bind(fleet.relayedUpstreams)
+  fleet.relayedUpstreams.run = (target, request, opts) => {
     if (target.address === down && fleet.clock.nowMs() < downUntilMs) throw new UpstreamError(`${target.address} closed the connection`, { mayHaveRun: true, unreachable: true })
     return run(target, request, opts)
   }
--- a/box/runtime/test/watcherRole.ts
+++ b/box/runtime/test/watcherRole.ts
@@ -20,11 +20,11 @@
     platform: { addresses: ['10.9.0.1:80'], watchersPerAvailabilityZone: WATCHERS },
   })
   const roles = incarnations.map((incarnation) => {
-    const view = new MembershipView({ self: member(incarnation), goneMemoryMs: 60_000 })
+    const view = new MembershipView({ self: member(incarnation), goneRetentionMs: 60_000 })
     incarnations.filter((other) => other !== incarnation).forEach((other) => view.merge(member(other), 0))
     return { incarnation, view, role: new WatcherRole({ clock, settings, view, lastMajorityContactMs: () => contact.atMs }) }
   })
-  return { clock, contact, roles, watching: () => roles.filter(({ role }) => role.holds()).map(({ incarnation }) => incarnation) }
+  return { clock, contact, roles, watching: () => roles.filter(({ role }) => role.isWatcher()).map(({ incarnation }) => incarnation) }
 }
 
 test('the configured number of boxes per zone watch the platform, and all boxes agree on which', (t) => {
--- a/cli/reelspan/src/startBox.ts
+++ b/cli/reelspan/src/startBox.ts
@@ -30,8 +30,8 @@
   const boxLog = new BunyanLog({ box: settings.box.name, level: log.level })
   const started: { box?: Box } = {}
   const clock = new SystemClock({
-    onLate: (lateMs) => loopDelay.note(lateMs),
-    wasSuspended: async (durationMs) => started.box?.wasSuspended(durationMs) ?? true,
+    onLateTimer: (lateMs) => loopDelay.record(lateMs),
+    confirmSuspension: async (durationMs) => started.box?.handleClockJump(durationMs) ?? true,
   })
   const token = await readToken(settings)
   const metrics = new Metrics()
@@ -41,7 +41,7 @@
     maxMessageBytes: MAX_PEER_MESSAGE_BYTES,
     idleCloseMs: IDLE_CLOSE_MS,
     maxConnections: limits.peerConnections,
-    onSilentConnection: (address, sinceMs) => boxLog.warn(LogEvent.ConnectionSilent, { peer: address, silentMs: Math.round(clock.nowMs() - sinceMs) }),
+    onUnresponsiveConnection: (address, sinceMs) => boxLog.warn(LogEvent.ConnectionSilent, { peer: address, silentMs: Math.round(clock.nowMs() - sinceMs) }),
   })
   const box = createBox({
     settings,
@@ -63,7 +63,7 @@
   await listenAt(operators, listen.operatorAddress)
   // The caller port opens only once the box has a configuration to route by.
   while (!box.ready) await clock.sleep(NOT_READY_POLL_MS)
-  const callers = createCallerServer({ clock, box, ...limits, onFailed: ({ message }) => boxLog.warn(LogEvent.ListenerFailed, { server: 'callers', reason: message }) })
+  const callers = createCallerServer({ clock, box, ...limits, onAcceptError: ({ message }) => boxLog.warn(LogEvent.ListenerFailed, { server: 'callers', reason: message }) })
   await listenAt(callers, listen.callerAddress)
   return { box, stopListening: () => closeServers([callers, operators]) }
 }
--- a/config/fleet/src/reconciledFleet.ts
+++ b/config/fleet/src/reconciledFleet.ts
@@ -13,7 +13,7 @@
   /** The last list that was read. Its revision increases over all eras of the platform's store. */
   listed: { readonly value: FleetList, readonly revision: number }
   /** Whether entries may have expired because the platform was unavailable. */
-  mayHaveLapsed: () => boolean
+  mayHaveExpired: () => boolean
   /** Upstreams that are known to be draining, whatever the list contains. The revision increases with each change. */
   draining?: { readonly revision: number, has: (upstream: string) => boolean }
 }
@@ -65,10 +65,10 @@
   }
 
   #refresh (): void {
-    const { listed, mayHaveLapsed, draining } = this.#opts
+    const { listed, mayHaveExpired, draining } = this.#opts
     const changed = listed.revision !== this.#seenRevision
     if (changed && this.#isFromRestoredCopy(listed.revision)) this.#departures.recordRestored()
-    const retaining = mayHaveLapsed() || this.#departures.sinceRestoredMs < REREGISTRATION_MS
+    const retaining = mayHaveExpired() || this.#departures.sinceRestoredMs < REREGISTRATION_MS
     const drainingRevision = draining?.revision ?? 0
     const departuresRevision = this.#departures.revision
     const sameDepartures = drainingRevision === this.#seenDraining && departuresRevision === this.#seenDepartures
--- a/config/fleet/test/reconciledFleet.ts
+++ b/config/fleet/test/reconciledFleet.ts
@@ -1,4 +1,4 @@
-import { FleetList, GuardedFleet, type ListedUpstream, UpstreamKind } from '@reelspan/config.fleet'
+import { FleetList, ReconciledFleet, type ListedUpstream, UpstreamKind } from '@reelspan/config.fleet'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
@@ -9,7 +9,7 @@
 function createFleet () {
   const listed = { value: new FleetList([], []), revision: 0 }
   const platform = { unavailable: false }
-  const fleet = new GuardedFleet({ clock: new VirtualClock(), listed, mayHaveLapsed: () => platform.unavailable })
+  const fleet = new ReconciledFleet({ clock: new VirtualClock(), listed, mayHaveExpired: () => platform.unavailable })
   const list = (...upstreams: ListedUpstream[]) => Object.assign(listed, { value: new FleetList([], upstreams), revision: listed.revision + 1 })
   const names = () => fleet.value.takingWork('desk').map(({ name }) => name)
   return { fleet, platform, list, names }
@@ -60,7 +60,7 @@
   const listed = { value: new FleetList([], []), revision: 0 }
   const draining = { revision: 0, names: new Set<string>(), has: (name: string) => draining.names.has(name) }
   const platform = { unavailable: false }
-  const fleet = new GuardedFleet({ clock: new VirtualClock(), listed, mayHaveLapsed: () => platform.unavailable, draining })
+  const fleet = new ReconciledFleet({ clock: new VirtualClock(), listed, mayHaveExpired: () => platform.unavailable, draining })
   const list = (...upstreams: ListedUpstream[]) => Object.assign(listed, { value: new FleetList([], upstreams), revision: listed.revision + 1 })
   const names = () => fleet.value.takingWork('desk').map(({ name }) => name)
   list(upstream('1'), upstream('2'))
--- a/config/fleet/test/restartedUpstreams.ts
+++ b/config/fleet/test/restartedUpstreams.ts
@@ -1,4 +1,4 @@
-import { FleetList, GuardedFleet, type ListedUpstream, NewestStarts, UpstreamKind } from '@reelspan/config.fleet'
+import { FleetList, ReconciledFleet, type ListedUpstream, NewestStarts, UpstreamKind } from '@reelspan/config.fleet'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
@@ -9,7 +9,7 @@
 function createFleet () {
   const listed = { value: new FleetList([], []), revision: 0 }
   const platform = { unavailable: false }
-  const fleet = new GuardedFleet({ clock: new VirtualClock(), listed, mayHaveLapsed: () => platform.unavailable })
+  const fleet = new ReconciledFleet({ clock: new VirtualClock(), listed, mayHaveExpired: () => platform.unavailable })
   const list = (...upstreams: ListedUpstream[]) => {
     Object.assign(listed, { value: new FleetList([], upstreams), revision: listed.revision + 1 })
     return fleet.value.takingWork('llm').map(({ name }) => name)
--- a/config/fleet/test/restoredList.ts
+++ b/config/fleet/test/restoredList.ts
@@ -1,5 +1,5 @@
-import { FleetList, GuardedFleet, type ListedUpstream, REENTRY_MS, UpstreamKind } from '@reelspan/config.fleet'
-import { orderOf } from '@reelspan/config.store'
+import { FleetList, ReconciledFleet, type ListedUpstream, REREGISTRATION_MS, UpstreamKind } from '@reelspan/config.fleet'
+import { orderedRevisionOf } from '@reelspan/config.store'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
@@ -13,10 +13,10 @@
 function createFleet () {
   const clock = new VirtualClock()
   const listed = { value: new FleetList([], []), revision: 0 }
-  const fleet = new GuardedFleet({ clock, listed, mayHaveLapsed: () => false })
+  const fleet = new ReconciledFleet({ clock, listed, mayHaveExpired: () => false })
   const names = () => fleet.value.takingWork('desk').map(({ name }) => name)
   const list = (era: number, revision: number, ...upstreams: ListedUpstream[]) => {
-    Object.assign(listed, { value: new FleetList([], upstreams), revision: orderOf({ era, revision }) })
+    Object.assign(listed, { value: new FleetList([], upstreams), revision: orderedRevisionOf({ era, revision }) })
     return names()
   }
   return { clock, fleet, names, list }
@@ -62,7 +62,7 @@
   t.deepEqual(fleet.missing, ['2'])
   t.deepEqual(list(1, 91, upstream('1'), upstream('2'), upstream('3')), ['1', '2', '3'])
   t.deepEqual(list(2, 90, upstream('1'), upstream('3')), ['1', '3', '2'], 'a second restore')
-  await clock.advance(REENTRY_MS)
+  await clock.advance(REREGISTRATION_MS)
   t.deepEqual(names(), ['1', '3'])
 })
 
--- a/config/resources/test/checkResources.ts
+++ b/config/resources/test/checkResources.ts
@@ -1,8 +1,8 @@
 import { checkResources, Configuration, ResourceKind, routeSpecSchema } from '@reelspan/config.resources'
-import { tuulDeclarations } from '@reelspan/utils.fakes'
+import { sampleDeclarations } from '@reelspan/utils.fakes'
 import test from 'ava'
 
-const DECLARED = tuulDeclarations().map((entry) => ({ ...entry, revision: 1 }))
+const DECLARED = sampleDeclarations().map((entry) => ({ ...entry, revision: 1 }))
 
 function problemsWith (name: string, spec: object, kind: string = ResourceKind.Route): string[] {
   return checkResources([...DECLARED.filter((entry) => entry.name !== name), { kind, name, revision: 1, spec }], 1)
--- a/config/resources/test/declarationsChecker.ts
+++ b/config/resources/test/declarationsChecker.ts
@@ -1,6 +1,6 @@
 import { checkResources, DeclarationsChecker, type Resource, ResourceKind, resourceId } from '@reelspan/config.resources'
 import { AdoptOutcome, ConfigStore, type ContentChange, type RevisionedContent } from '@reelspan/config.store'
-import { tuulDeclarations } from '@reelspan/utils.fakes'
+import { sampleDeclarations } from '@reelspan/utils.fakes'
 import test from 'ava'
 import fc from 'fast-check'
 import { isDeepStrictEqual } from 'node:util'
@@ -24,7 +24,7 @@
 
 test('only the changed entries of a whole content are validated', (t) => {
   const { checker, store } = createStore()
-  const first = [...tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), ...routes(100, 1)]
+  const first = [...sampleDeclarations().map((entry) => ({ ...entry, revision: 1 })), ...routes(100, 1)]
   store.adopt(received({ revision: 1, full: true, changes: first }), 0)
   t.is(checker.checkedCount, first.length)
   const second = first.map((entry) => ({ ...entry, revision: 2, spec: entry.name === 'route-7' ? { model: 'draft', deadlineMs: 5 } : entry.spec }))
@@ -38,7 +38,7 @@
 
 test('an unchanged entry is rejected when a resource that it references is removed', (t) => {
   const { store } = createStore()
-  const first = [...tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), ...routes(2, 1)]
+  const first = [...sampleDeclarations().map((entry) => ({ ...entry, revision: 1 })), ...routes(2, 1)]
   store.adopt(received({ revision: 1, full: true, changes: first }), 0)
   store.adopt(received({ revision: 2, full: true, changes: first.filter(({ kind }) => kind !== ResourceKind.Model) }), 1)
   t.is(store.revision, 1)
--- a/config/store/test/restoredPlatform.ts
+++ b/config/store/test/restoredPlatform.ts
@@ -1,4 +1,4 @@
-import { AdoptOutcome, ConfigFollower, ConfigStore, orderOf, PlatformReader, type PlatformReadOptions, type RevisionedContent, storeRevisionOf } from '@reelspan/config.store'
+import { AdoptOutcome, ConfigFollower, ConfigStore, orderedRevisionOf, PlatformReader, type PlatformReadOptions, type RevisionedContent, storeRevisionOf } from '@reelspan/config.store'
 import { Collection, MessageType, PeerLink, type PeerMessage, RevisionNumbering } from '@reelspan/core.messages'
 import { SeededRandom, VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
@@ -140,7 +140,7 @@
 
 test('a list of a later era is newer than any of an earlier one, and the ordered revision can be converted back', (t) => {
   const positions = [{ era: 0, revision: 0 }, { era: 0, revision: 2 ** 39 }, { era: 1, revision: 0 }, { era: 1, revision: 7 }, { era: 8191, revision: 1 }]
-  const orders = positions.map(orderOf)
+  const orders = positions.map(orderedRevisionOf)
   t.deepEqual(orders, orders.toSorted((a, b) => a - b))
   t.deepEqual(orders.map(storeRevisionOf), positions)
   t.true(orders.every(Number.isSafeInteger))
@@ -150,8 +150,8 @@
   const upstream = (name: string, order: number, leaving = false) => ({ kind: 'upstream', name, revision: order, spec: { name, leaving } })
   const create = () => new ConfigStore((entries) => ({ value: entries.map(({ name, spec }) => `${name} ${JSON.stringify(spec)}`).toSorted(), problems: [] }))
   const [before, after] = [create(), create()]
-  const old = (revision: number) => orderOf({ era: 0, revision })
-  const next = (revision: number) => orderOf({ era: 1, revision })
+  const old = (revision: number) => orderedRevisionOf({ era: 0, revision })
+  const next = (revision: number) => orderedRevisionOf({ era: 1, revision })
   const first = { revision: old(90), full: true, changes: [upstream('a', old(10)), upstream('b', old(20))] }
   before.adopt(first, 0)
   after.adopt(first, 0)
--- a/core/env/src/clock.ts
+++ b/core/env/src/clock.ts
@@ -19,5 +19,5 @@
    * process, timers fire before messages that arrived meanwhile are read. Await this
    * before sending something that cannot be undone.
    */
-  abstract settle (): Promise<void>
+  abstract awaitPendingInput (): Promise<void>
 }
--- a/core/env/src/pauseDetector.ts
+++ b/core/env/src/pauseDetector.ts
@@ -26,12 +26,12 @@
   }
 
   /** Records a pause of this length that the process's own clock may not show. */
-  note (lengthMs: number): void {
+  record (lengthMs: number): void {
     this.#pauses = [...this.#pauses, { lengthMs, resumedAtMs: this.#clock.nowMs() }].slice(-MAX_PAUSES)
   }
 
   /** When the last pause longer than `longerThanMs` ended; negative infinity if there was none. */
-  wokeAtMs (longerThanMs: number): number {
+  resumedAtMs (longerThanMs: number): number {
     this.#check()
     return this.#pauses.findLast(({ lengthMs }) => lengthMs > longerThanMs)?.resumedAtMs ?? Number.NEGATIVE_INFINITY
   }
@@ -39,7 +39,7 @@
   #check (): void {
     const nowMs = this.#clock.nowMs()
     const lengthMs = nowMs - this.#checkedAtMs
-    if (lengthMs > 2 * TICK_MS) this.note(lengthMs)
+    if (lengthMs > 2 * TICK_MS) this.record(lengthMs)
     this.#checkedAtMs = nowMs
   }
 }
--- a/core/env/test/taskGroup.ts
+++ b/core/env/test/taskGroup.ts
@@ -9,7 +9,7 @@
 
   async sleep (): Promise<void> {}
 
-  async settle (): Promise<void> {}
+  async awaitPendingInput (): Promise<void> {}
 }
 
 test('a failed task is reported and does not end the others', async (t) => {
--- a/core/messages/src/peerLink.ts
+++ b/core/messages/src/peerLink.ts
@@ -7,7 +7,7 @@
   /** The message is idempotent: if its connection becomes unresponsive, it is sent again on a new one with the full timeout. */
   repeatable?: boolean
   /** Fails as soon as the peer is found unresponsive on a new connection as well. */
-  endIfSilent?: boolean
+  failIfUnresponsive?: boolean
 }
 
 /** Handles the messages of peers. */
--- a/membership/limits/src/coordinatedLimiter.ts
+++ b/membership/limits/src/coordinatedLimiter.ts
@@ -10,11 +10,11 @@
   link: PeerLink
   messages: LimitMessages
   /** Token buckets of the limits that this box coordinates. */
-  book: TokenBucketStore
+  buckets: TokenBucketStore
   /** Used when no coordinator answers. */
-  alone: SharedLimiter
+  local: SharedLimiter
   /** Called when a coordinator answered for the limit of that name. */
-  onHomeAnswered?: (name: string) => void
+  onCoordinatorAnswered?: (name: string) => void
   /** Boxes that can be coordinators, including this one. Returns the same array until a member changes. */
   members: () => readonly Member[]
   self: () => Member
@@ -51,28 +51,28 @@
     this.#opts = opts
   }
 
-  async take (charge: LimitedCost): Promise<number> {
-    const { alone } = this.#opts
+  async acquire (charge: LimitedCost): Promise<number> {
+    const { local } = this.#opts
     const answer = await this.#askCoordinators(charge, this.#coordinatorsOf(charge.name))
     if (answer !== undefined) return answer
-    this.#acquiredFrom.set(charge, alone)
+    this.#acquiredFrom.set(charge, local)
     // By then the coordinator is asked again, or has been replaced.
-    return Math.min(await alone.take(charge), SKIP_UNANSWERED_MS)
+    return Math.min(await local.acquire(charge), SKIP_UNANSWERED_MS)
   }
 
-  giveBack (charge: LimitedCost): void {
-    const { book, link, messages, self } = this.#opts
+  release (charge: LimitedCost): void {
+    const { buckets, link, messages, self } = this.#opts
     const acquiredFrom = this.#acquiredFrom.get(charge)
     if (!acquiredFrom) return
     this.#acquiredFrom.delete(charge)
-    if (acquiredFrom instanceof SharedLimiter) return acquiredFrom.giveBack(charge)
-    if (acquiredFrom.incarnation === self().incarnation) return book.giveBack(charge.name, charge.cost)
+    if (acquiredFrom instanceof SharedLimiter) return acquiredFrom.release(charge)
+    if (acquiredFrom.incarnation === self().incarnation) return buckets.release(charge.name, charge.cost)
     // The link logs a failure. Tokens that are not released are refilled at the limit's rate.
-    link.call(acquiredFrom.peerAddress, messages.giveBack(charge), { timeoutMs: COORDINATOR_TIMEOUT_MS, repeatable: false }).catch(() => {})
+    link.call(acquiredFrom.peerAddress, messages.release(charge), { timeoutMs: COORDINATOR_TIMEOUT_MS, repeatable: false }).catch(() => {})
   }
 
   /** Whether this box is the coordinator of a limit, according to its own view of the members. */
-  isHome (name: string): boolean {
+  isCoordinator (name: string): boolean {
     return this.#coordinatorsOf(name)[0]?.incarnation === this.#opts.self().incarnation
   }
 
@@ -81,15 +81,15 @@
     const answer = this.#unansweredBy(coordinator) ? undefined : await this.#ask(coordinator, charge)
     if (answer === undefined) return this.#unansweredBy(coordinator)?.exited ? this.#askCoordinators(charge, others) : undefined
     this.#acquiredFrom.set(charge, coordinator)
-    this.#opts.onHomeAnswered?.(charge.name)
+    this.#opts.onCoordinatorAnswered?.(charge.name)
     return answer
   }
 
   async #ask (coordinator: Member, charge: LimitedCost): Promise<number | undefined> {
-    const { book, clock, link, messages, self } = this.#opts
-    if (coordinator.incarnation === self().incarnation) return book.take(charge.name, charge.cost)
+    const { buckets, clock, link, messages, self } = this.#opts
+    if (coordinator.incarnation === self().incarnation) return buckets.acquire(charge.name, charge.cost)
     try {
-      const answer = await link.call(coordinator.peerAddress, messages.take(charge), { timeoutMs: COORDINATOR_TIMEOUT_MS, repeatable: false })
+      const answer = await link.call(coordinator.peerAddress, messages.acquire(charge), { timeoutMs: COORDINATOR_TIMEOUT_MS, repeatable: false })
       return messages.waitMsIn(answer)
     } catch (thrown) {
       // The link logs the failure.
--- a/membership/limits/src/evenShareLimiter.ts
+++ b/membership/limits/src/evenShareLimiter.ts
@@ -10,12 +10,12 @@
     this.#buckets = new TokenBucketStore(opts)
   }
 
-  async take ({ name, cost }: LimitedCost): Promise<number> {
-    return this.#buckets.take(name, cost)
+  async acquire ({ name, cost }: LimitedCost): Promise<number> {
+    return this.#buckets.acquire(name, cost)
   }
 
-  giveBack ({ name, cost }: LimitedCost): void {
-    this.#buckets.giveBack(name, cost)
+  release ({ name, cost }: LimitedCost): void {
+    this.#buckets.release(name, cost)
   }
 
   /** Removes the token bucket of a limit; the next cost creates it anew. */
--- a/membership/limits/src/limitMessages.ts
+++ b/membership/limits/src/limitMessages.ts
@@ -4,11 +4,11 @@
 /** Builds and reads the peer messages for limits of one kind. */
 export abstract class LimitMessages {
   /** Builds the request to the coordinator to acquire a cost. */
-  abstract take (charge: LimitedCost): PeerMessage
+  abstract acquire (charge: LimitedCost): PeerMessage
 
   /** Returns 0 if the cost was acquired, otherwise the time until it can be; undefined if the message is not such an answer. */
   abstract waitMsIn (answer: PeerMessage): number | undefined
 
   /** Builds the notification to the coordinator that an acquired cost was not used. */
-  abstract giveBack (charge: LimitedCost): PeerMessage
+  abstract release (charge: LimitedCost): PeerMessage
 }
--- a/membership/limits/src/sharedLimiter.ts
+++ b/membership/limits/src/sharedLimiter.ts
@@ -9,8 +9,8 @@
 /** Enforces limits that apply to all boxes together. */
 export abstract class SharedLimiter {
   /** Acquires a cost and returns 0, or returns the time until it can be acquired. */
-  abstract take (charge: LimitedCost): Promise<number>
+  abstract acquire (charge: LimitedCost): Promise<number>
 
   /** Releases the cost of a request that has not run and will not. */
-  abstract giveBack (charge: LimitedCost): void
+  abstract release (charge: LimitedCost): void
 }
--- a/membership/limits/src/tokenBucket.ts
+++ b/membership/limits/src/tokenBucket.ts
@@ -27,7 +27,7 @@
   }
 
   /** Acquires the cost and returns 0, or acquires nothing and returns how long the caller has to wait. */
-  take (cost: number, size: BucketSize, nowMs: number): number {
+  acquire (cost: number, size: BucketSize, nowMs: number): number {
     const waitMs = this.waitMs(cost, size, nowMs)
     if (waitMs === 0) this.#level -= cost
     return waitMs
--- a/membership/limits/src/tokenBucketStore.ts
+++ b/membership/limits/src/tokenBucketStore.ts
@@ -4,13 +4,13 @@
 /** The current configuration of a token bucket. */
 export interface BucketConfig extends BucketSize {
   /** Level of a bucket that is created here, when earlier usage is unknown. */
-  firstLevel: number
+  initialLevel: number
 }
 
 export interface TokenBucketStoreOptions {
   clock: Clock
   /** Returns the current configuration for a name, or undefined if it has no limit. */
-  planOf: (name: string) => BucketConfig | undefined
+  configOf: (name: string) => BucketConfig | undefined
 }
 
 /** The token buckets kept at one box, by the name of their limit. */
@@ -23,7 +23,7 @@
   }
 
   /** Acquires a cost and returns 0, or returns the time until it can be acquired. */
-  take (name: string, cost: number): number {
+  acquire (name: string, cost: number): number {
     const waitMs = this.waitMs(name, cost)
     if (waitMs === 0) this.#buckets.get(name)?.charge(cost)
     return waitMs
@@ -31,14 +31,14 @@
 
   /** Returns the time until a cost can be acquired; 0 if it can be acquired now. */
   waitMs (name: string, cost: number): number {
-    const { clock, planOf } = this.#opts
-    const config = planOf(name)
+    const { clock, configOf } = this.#opts
+    const config = configOf(name)
     if (!config) {
       this.#buckets.delete(name)
       return 0
     }
     const nowMs = clock.nowMs()
-    const bucket = this.#buckets.get(name) ?? new TokenBucket(config.firstLevel, nowMs)
+    const bucket = this.#buckets.get(name) ?? new TokenBucket(config.initialLevel, nowMs)
     this.#buckets.set(name, bucket)
     return bucket.waitMs(cost, config, nowMs)
   }
@@ -56,7 +56,7 @@
   }
 
   /** Releases an acquired cost that was not used. */
-  giveBack (name: string, cost: number): void {
+  release (name: string, cost: number): void {
     this.#buckets.get(name)?.charge(-cost)
   }
 }
--- a/membership/prober/src/announcementLimiter.ts
+++ b/membership/prober/src/announcementLimiter.ts
@@ -8,7 +8,7 @@
   readonly #announcedAtMs = new Map<string, readonly number[]>()
 
   /** Returns whether a subject may be announced now, and if so counts the announcement. */
-  take (subject: string, nowMs: number): boolean {
+  tryAcquire (subject: string, nowMs: number): boolean {
     const recent = (this.#announcedAtMs.get(subject) ?? []).filter((atMs) => nowMs - atMs < WINDOW_MS)
     const allowed = recent.length < MAX_ANNOUNCEMENTS
     this.#announcedAtMs.set(subject, allowed ? [...recent, nowMs] : recent)
--- a/membership/prober/src/broadcaster.ts
+++ b/membership/prober/src/broadcaster.ts
@@ -36,7 +36,7 @@
     this.#tasks = new TaskGroup(opts.clock, opts.onTaskError)
   }
 
-  tell (updates: readonly T[]): void {
+  broadcast (updates: readonly T[]): void {
     if (updates.length === 0 || this.#tasks.stopped) return
     const isFirst = this.#pending.length === 0
     if (isFirst) this.#pendingSinceMs = this.#opts.clock.nowMs()
@@ -55,7 +55,7 @@
     const due = this.#pending.map((update) => ({ ...update, ageMs: update.ageMs + waitedMs }))
     const batch = due.slice(0, MAX_UPDATES_PER_MESSAGE)
     this.#pending = []
-    this.tell(due.slice(MAX_UPDATES_PER_MESSAGE))
+    this.broadcast(due.slice(MAX_UPDATES_PER_MESSAGE))
     await Promise.all(watchedAddresses().map((address) => send(address, batch, this.#tasks.signal)))
   }
 }
--- a/membership/prober/src/gossip.ts
+++ b/membership/prober/src/gossip.ts
@@ -22,24 +22,24 @@
 
 /** Builds and reads the peer messages for one kind of update. */
 export abstract class UpdateMessages<T extends Aged> {
-  abstract tell (updates: readonly T[]): PeerMessage
+  abstract announce (updates: readonly T[]): PeerMessage
 
   /** Builds a request for all updates that a peer knows. */
   abstract pull (known: readonly T[]): PeerMessage
 
   /** Returns the updates in the answer to `pull`, or undefined if the message is not such an answer. */
-  abstract contentOf (answer: PeerMessage): readonly T[] | undefined
+  abstract updatesOf (answer: PeerMessage): readonly T[] | undefined
 }
 
 export interface GossipOptions<T extends Aged> {
   clock: Clock
   link: PeerLink
-  book: UpdateStore<T>
+  store: UpdateStore<T>
   messages: UpdateMessages<T>
   /** Addresses of the members that this box watches. Updates that every box forwards to its watched members reach all boxes. */
   watchedAddresses: () => readonly string[]
   /** Whether to forward an update received from another box. Others still spread through pulls. Defaults to all. */
-  mayTell?: (update: T) => boolean
+  mayForward?: (update: T) => boolean
   /** Called with received updates that were new here. */
   onAdded?: (updates: readonly T[]) => void
   /** Called when a task fails with an unexpected error. */
@@ -68,30 +68,30 @@
   }
 
   /** Sends updates to the watched members after a short delay. */
-  tell (updates: readonly T[]): void {
-    this.#broadcaster.tell(updates)
+  announce (updates: readonly T[]): void {
+    this.#broadcaster.broadcast(updates)
   }
 
   /** Adds updates received from another box, and forwards the new ones. */
-  take (updates: readonly T[]): void {
-    const added = updates.filter((update) => this.#opts.book.add(update))
+  receive (updates: readonly T[]): void {
+    const added = updates.filter((update) => this.#opts.store.add(update))
     if (added.length === 0) return
-    const { onAdded, mayTell = () => true } = this.#opts
+    const { onAdded, mayForward = () => true } = this.#opts
     onAdded?.(added)
-    this.tell(added.filter(mayTell))
+    this.announce(added.filter(mayForward))
   }
 
   /** All updates known to this box, for a peer that pulls them. */
   known (): T[] {
-    return this.#opts.book.all()
+    return this.#opts.store.all()
   }
 
   /** Compares the digest that a peer reported, and pulls from the peer if it differs. A peer that knows no updates reports none. */
-  hear (address: string, digest: number | undefined): void {
-    const { clock, book } = this.#opts
-    book.expire()
+  receiveDigest (address: string, digest: number | undefined): void {
+    const { clock, store } = this.#opts
+    store.expire()
     const nowMs = clock.nowMs()
-    if (digest === undefined || digest === book.digest || !book.comparable || nowMs - this.#pulledAtMs < MIN_PULL_INTERVAL_MS) return
+    if (digest === undefined || digest === store.digest || !store.comparable || nowMs - this.#pulledAtMs < MIN_PULL_INTERVAL_MS) return
     this.#pulledAtMs = nowMs
     this.#tasks.run(() => this.#pull(address))
   }
@@ -103,7 +103,7 @@
   async #send (address: string, updates: readonly T[], signal: AbortSignal): Promise<void> {
     const { link, messages } = this.#opts
     // The link logs a failure; a later difference of digests causes a pull.
-    await link.call(address, messages.tell(updates), { timeoutMs: PEER_CALL_TIMEOUT_MS, repeatable: true, signal }).catch(() => {})
+    await link.call(address, messages.announce(updates), { timeoutMs: PEER_CALL_TIMEOUT_MS, repeatable: true, signal }).catch(() => {})
   }
 
   async #pull (address: string): Promise<void> {
@@ -111,7 +111,7 @@
     const opts = { timeoutMs: PEER_CALL_TIMEOUT_MS, repeatable: true, signal: this.#tasks.signal }
     // The link logs a failure; the next heartbeat shows the difference again.
     const answer = await link.call(address, messages.pull(this.known()), opts).catch(() => undefined)
-    const content = answer && messages.contentOf(answer)
-    if (content) this.take(content)
+    const content = answer && messages.updatesOf(answer)
+    if (content) this.receive(content)
   }
 }
--- a/membership/prober/src/heartbeatContent.ts
+++ b/membership/prober/src/heartbeatContent.ts
@@ -43,15 +43,15 @@
 
   /** Processes a peer's heartbeat or its answer to one. */
   receive (message: MessageOf<MessageType.Heartbeat> | MessageOf<MessageType.HeartbeatAck>): void {
-    const { clock, view, onPeerNewsDigests, onPlatformAnswering } = this.#opts
+    const { clock, view, onPeerUpdateDigests, onPlatformAvailability } = this.#opts
     const { platformSilentMs: silentMs, platformAnsweredMs: answeredMs = silentMs, platformAnsweringMs: answeringMs = answeredMs } = message
-    if (silentMs !== undefined && answeredMs !== undefined && answeringMs !== undefined) onPlatformAnswering({ silentMs, answeredMs, answeringMs })
+    if (silentMs !== undefined && answeredMs !== undefined && answeringMs !== undefined) onPlatformAvailability({ silentMs, answeredMs, answeringMs })
     const nowMs = clock.nowMs()
     this.#peerLoad.set(message.self.incarnation, message.inFlight)
     const members = [message.self, ...message.news]
     members.forEach((member) => view.merge(member, nowMs))
     if (message.numbering !== undefined) this.#receiveRevisions(message.self, message.revisions)
-    onPeerNewsDigests?.(message.self.peerAddress, message)
+    onPeerUpdateDigests?.(message.self.peerAddress, message)
   }
 
   #receiveRevisions ({ incarnation, peerAddress }: Member, revisions: Revisions): void {
@@ -61,11 +61,11 @@
 
   /** Composes this box's state and updates. A receiver that is suspect or gone here gets its own entry, so that it can refute it or take a new incarnation. */
   compose (receiver?: Member, received: readonly Member[] = []) {
-    const { view, revisions, inFlight, platformAnswering, newsDigests } = this.#opts
-    const availability = platformAnswering()
+    const { view, revisions, inFlight, platformAvailability, updateDigests } = this.#opts
+    const availability = platformAvailability()
     const known = receiver && view.get(receiver.incarnation)
     const suspicion = known && known.health !== MemberHealth.Alive ? [known] : []
-    return { self: view.self, news: [...suspicion, ...this.#nextUpdates(received)], digest: view.digest, revisions: revisions(), numbering: RevisionNumbering.ByVersionAndEra, inFlight: inFlight(), platformSilentMs: availability?.silentMs, platformAnsweredMs: availability?.answeredMs, platformAnsweringMs: availability?.answeringMs, ...newsDigests?.() }
+    return { self: view.self, news: [...suspicion, ...this.#nextUpdates(received)], digest: view.digest, revisions: revisions(), numbering: RevisionNumbering.ByVersionAndEra, inFlight: inFlight(), platformSilentMs: availability?.silentMs, platformAnsweredMs: availability?.answeredMs, platformAnsweringMs: availability?.answeringMs, ...updateDigests?.() }
   }
 
   /** @param received members that the receiver has just sent; those whose state is newer here are still included */
--- a/membership/prober/src/prober.ts
+++ b/membership/prober/src/prober.ts
@@ -1,6 +1,6 @@
-import { type ToldProof } from '@reelspan/accounts.proof'
+import { type AdvertisedProof } from '@reelspan/accounts.proof'
 import { type Clock, type Random, type TaskErrorListener, TaskGroup } from '@reelspan/core.env'
-import { Collection, type Member, MemberHealth, type MessageOf, MessageType, type PeerLink, PeerLinkError, type PeerMessage, type PlatformAnswering } from '@reelspan/core.messages'
+import { Collection, type Member, MemberHealth, type MessageOf, MessageType, type PeerLink, PeerLinkError, type PeerMessage, type PlatformAvailability } from '@reelspan/core.messages'
 import { type MembershipView } from '@reelspan/membership.view'
 import { HeartbeatContent } from './heartbeatContent.js'
 import { SuspensionDetector } from './suspensionDetector.js'
@@ -20,19 +20,19 @@
   revisions: () => Record<Collection, number>
   inFlight: () => number
   /** The platform's availability as known to this box; sent to peers. */
-  platformAnswering: () => PlatformAnswering | undefined
+  platformAvailability: () => PlatformAvailability | undefined
   /** Called with the platform's availability that a peer reported. */
-  onPlatformAnswering: (reported: PlatformAnswering) => void
+  onPlatformAvailability: (reported: PlatformAvailability) => void
   /** Called when a peer reports its revisions. */
   onPeerRevisions: (address: string, revisions: Record<Collection, number>) => void
   /** Digests of the updates that this box knows. */
-  newsDigests?: () => UpdateDigests
+  updateDigests?: () => UpdateDigests
   /** Called when a peer reports the digests of its updates. */
-  onPeerNewsDigests?: (address: string, digests: UpdateDigests) => void
+  onPeerUpdateDigests?: (address: string, digests: UpdateDigests) => void
   /** The freshness proof of this box's configuration; included in answers to heartbeats. */
-  proof?: () => ToldProof | undefined
+  proof?: () => AdvertisedProof | undefined
   /** Called with the freshness proof of a peer that was asked at `askedAtMs`. */
-  onPeerProof?: (proof: ToldProof, askedAtMs: number) => void
+  onPeerProof?: (proof: AdvertisedProof, askedAtMs: number) => void
   probePeriodMs: number
   probeTimeoutMs: number
   /** Number of members that each box watches. */
@@ -137,7 +137,7 @@
   }
 
   /** Sends heartbeats to the watched members immediately, for a change that should not wait for the next round. */
-  async tellNow (): Promise<void> {
+  async sendHeartbeatsNow (): Promise<void> {
     // The link logs a failure; the next round probes again and handles it.
     await Promise.all(this.#watched().map((member) => this.#heartbeat(member.peerAddress).catch(() => {})))
   }
@@ -151,14 +151,14 @@
    * Whether this box was suspended without its clock counting the time, for at least half of `durationMs`
    * by the clocks of the watched members. Returns true if none of them answers, since that does not rule it out.
    */
-  async hasLostTime (durationMs: number): Promise<boolean> {
+  async wasSuspendedFor (durationMs: number): Promise<boolean> {
     const askedAtMs = this.#opts.clock.nowMs()
     const answered = await Promise.all(this.#watched().map(({ peerAddress }) => this.#contact(peerAddress)))
     return answered.every((contacted) => !contacted) || this.#suspensionDetector.suspendedMsSince(askedAtMs) >= durationMs / 2
   }
 
   /** Sends a heartbeat to a random one of the members. Its answer carries its freshness proof. */
-  async askAnyone (members: readonly Member[]): Promise<void> {
+  async contactAny (members: readonly Member[]): Promise<void> {
     const { random, view } = this.#opts
     const others = members.filter(({ incarnation }) => incarnation !== view.self.incarnation)
     await Promise.all(random.sample(others, 1).map(({ peerAddress }) => this.#contact(peerAddress)))
@@ -346,7 +346,7 @@
     while (!this.#tasks.stopped) {
       await this.#content.waitForUpdates(this.#tasks.signal)
       await clock.sleep(probePeriodMs / 10, { signal: this.#tasks.signal })
-      if (!this.#tasks.stopped) await this.tellNow()
+      if (!this.#tasks.stopped) await this.sendHeartbeatsNow()
     }
   }
 
--- a/membership/prober/test/prober.ts
+++ b/membership/prober/test/prober.ts
@@ -52,7 +52,7 @@
 /** Starts one box of a large fleet, with some members suspect in its view. */
 function startProber (suspects: readonly Member[]) {
   const clock = new VirtualClock()
-  const view = new MembershipView({ self: memberOf(0), goneMemoryMs: 600_000 })
+  const view = new MembershipView({ self: memberOf(0), goneRetentionMs: 600_000 })
   for (let i = 1; i < FLEET; i++) view.merge(memberOf(i), clock.nowMs())
   suspects.forEach(({ incarnation }) => view.suspect(incarnation, clock.nowMs()))
   return startWith(clock, view, [])
@@ -61,7 +61,7 @@
 /** Starts one box that knows no peers, only listed addresses. Without `answersAfterMs` they do not answer. */
 function startIsolated (listed: readonly Member[], answersAfterMs?: number) {
   const clock = new VirtualClock()
-  const view = new MembershipView({ self: memberOf(0), goneMemoryMs: 600_000 })
+  const view = new MembershipView({ self: memberOf(0), goneRetentionMs: 600_000 })
   return { view, ...startWith(clock, view, listed.map(({ peerAddress }) => peerAddress), answersAfterMs) }
 }
 
@@ -80,8 +80,8 @@
     listedAddresses: () => listedAddresses,
     revisions: () => ({ [Collection.Declarations]: 1, [Collection.Fleet]: here.fleetRevision }),
     inFlight: () => 0,
-    platformAnswering: () => undefined,
-    onPlatformAnswering: () => {},
+    platformAvailability: () => undefined,
+    onPlatformAvailability: () => {},
     onPeerRevisions: (_address, revisions) => reported.push(revisions[Collection.Fleet]),
     probePeriodMs: PROBE_PERIOD_MS,
     probeTimeoutMs: PROBE_TIMEOUT_MS,
--- a/membership/prober/test/unresponsiveConnection.ts
+++ b/membership/prober/test/unresponsiveConnection.ts
@@ -4,7 +4,7 @@
 import { MembershipView } from '@reelspan/membership.view'
 import { WsPeerLink } from '@reelspan/net.peer-link'
 import { SystemClock, SystemRandom } from '@reelspan/net.system-env'
-import { FaultProxy, Silence } from '@reelspan/utils.soak'
+import { FaultProxy, BlackholeDirection } from '@reelspan/utils.soak'
 import { freeAddress } from '@reelspan/utils.stand-ins'
 import test, { type ExecutionContext } from 'ava'
 
@@ -22,10 +22,10 @@
   await proxy.start()
   const link = new WsPeerLink({ clock, listenAddress, maxMessageBytes: 100_000, idleCloseMs: 30_000 })
   const self: Member = { name, availabilityZone: 'zone', peerAddress: proxy.address, callerAddress: '', incarnation: random.hex(16), version: 0, health: MemberHealth.Alive, leaving: false }
-  const view = new MembershipView({ self, goneMemoryMs: 600_000 })
+  const view = new MembershipView({ self, goneRetentionMs: 600_000 })
   const prober = new Prober({
-    platformAnswering: () => undefined,
-    onPlatformAnswering: () => {},
+    platformAvailability: () => undefined,
+    onPlatformAvailability: () => {},
     clock,
     random,
     link,
@@ -59,7 +59,7 @@
   return { proxy, view, prober, heartbeats }
 }
 
-for (const silenceKind of Object.values(Silence)) {
+for (const silenceKind of Object.values(BlackholeDirection)) {
   test(`a box whose connection to a peer becomes unresponsive (${silenceKind}) does not suspect the peer`, async (t) => {
     const addresses: string[] = []
     const a = await startBox(t, 'a', () => addresses)
@@ -71,7 +71,7 @@
       if (name === 'b' && health !== MemberHealth.Alive) suspectedStates.push(health)
     })
     a.prober.start()
-    b.proxy.silenceOpen(silenceKind)
+    b.proxy.blackholeOpenConnections(silenceKind)
     const enough = b.heartbeats.count + ENOUGH_HEARTBEATS
     while (b.heartbeats.count < enough) await b.heartbeats.more.wait()
     t.deepEqual(suspectedStates, [])
--- a/membership/view/src/membershipView.ts
+++ b/membership/view/src/membershipView.ts
@@ -5,7 +5,7 @@
 export interface MembershipViewOptions {
   self: Member
   /** How long the entry of a gone incarnation is retained. At least as long as records and request keys live. */
-  goneMemoryMs: number
+  goneRetentionMs: number
 }
 
 /** Number of parts of a view that have a digest of their own. */
@@ -40,7 +40,7 @@
   #selections: Selections = {}
 
   constructor (opts: MembershipViewOptions) {
-    this.#goneRetentionMs = opts.goneMemoryMs
+    this.#goneRetentionMs = opts.goneRetentionMs
     this.#self = opts.self
     this.#put(opts.self, 0)
   }
@@ -147,7 +147,7 @@
   }
 
   /** Replaces this box's incarnation and marks the old one as gone. */
-  takeIncarnation (incarnation: string, nowMs: number): void {
+  replaceIncarnation (incarnation: string, nowMs: number): void {
     const old = this.#self
     this.#self = { ...old, incarnation, version: 0, health: MemberHealth.Alive, successor: undefined }
     this.#put({ ...old, health: MemberHealth.Gone }, nowMs)
--- a/membership/view/test/membershipView.ts
+++ b/membership/view/test/membershipView.ts
@@ -37,15 +37,15 @@
 })
 
 test('a member refutes a suspicion of itself', (t) => {
-  const view = new MembershipView({ self: member('a'), goneMemoryMs: 1000 })
+  const view = new MembershipView({ self: member('a'), goneRetentionMs: 1000 })
   view.merge(member('a', { health: MemberHealth.Suspect, version: 4 }), 0)
   t.is(view.self.version, 5)
   t.is(view.self.health, MemberHealth.Alive)
 })
 
 test('digests are equal exactly for equal views, also after members are removed', (t) => {
-  const one = new MembershipView({ self: member('a'), goneMemoryMs: 1000 })
-  const two = new MembershipView({ self: member('b'), goneMemoryMs: 1000 })
+  const one = new MembershipView({ self: member('a'), goneRetentionMs: 1000 })
+  const two = new MembershipView({ self: member('b'), goneRetentionMs: 1000 })
   one.merge(two.self, 0)
   t.not(one.digest, two.digest)
   two.merge(one.self, 0)
@@ -56,7 +56,7 @@
 })
 
 test('the list of members that accept work is rebuilt only when a member has changed', (t) => {
-  const view = new MembershipView({ self: member('a'), goneMemoryMs: 1000 })
+  const view = new MembershipView({ self: member('a'), goneRetentionMs: 1000 })
   view.merge(member('b'), 0)
   const before = view.takingWork()
   t.is(view.takingWork(), before)
--- a/net/http-exchange/src/connectionPool.ts
+++ b/net/http-exchange/src/connectionPool.ts
@@ -10,9 +10,9 @@
   /** The maximum number of open connections to all upstreams together. */
   maxConnections?: number
   /** This box's share of the connections that an upstream accepts from all boxes together. No more than these are kept open. */
-  shareOf?: (address: string) => number | undefined
+  connectionShareOf?: (address: string) => number | undefined
   /** Identifies the start of the upstream's process that is known to be at an address. A connection to an earlier start is not reused: a request sent on it may be lost undetected. */
-  startAt?: (address: string) => string | undefined
+  startIdAt?: (address: string) => string | undefined
   onOpened?: (address: string) => void
 }
 
@@ -24,7 +24,7 @@
   /** Called just before the request is sent. From then on the upstream may run it. */
   onSend?: () => void
   /** Opens a new connection instead of reusing an idle one. */
-  fresh?: boolean
+  forceNewConnection?: boolean
 }
 
 /** An idle connection is not reused this close to its keep-alive timeout, since the upstream may already be closing it. */
@@ -48,7 +48,7 @@
 
   /** Sends a request once and resolves when the head of its answer has arrived. Throws `ExchangeError`. */
   async exchange (address: string, request: ExchangeRequest, opts: ExchangeOptions): Promise<ExchangeAnswer> {
-    const { signal, accept = () => true, onSend, fresh: forceNewConnection = false } = opts
+    const { signal, accept = () => true, onSend, forceNewConnection = false } = opts
     if (signal.aborted) throw new ExchangeError('the exchange was cancelled', { mayHaveRun: false })
     const idleConnection = forceNewConnection ? undefined : this.#acquireIdle(address)
     const connection = idleConnection ?? await this.#connect(address, signal)
@@ -61,7 +61,7 @@
       const sentAtMs = connection.lastSentAtMs
       const unresponsive = idleConnection !== undefined && connection.unansweredForMs(token) >= UNRESPONSIVE_AFTER_MS
       connection.cancel(token)
-      if (unresponsive) this.distrustKept(sentAtMs, address)
+      if (unresponsive) this.closeIdleInactiveSince(sentAtMs, address)
     }
     signal.addEventListener('abort', cancel, { once: true })
     const finish = () => {
@@ -79,7 +79,7 @@
   }
 
   /** Whether the next exchange with an upstream would reuse an idle connection. */
-  hasKept (address: string): boolean {
+  hasIdle (address: string): boolean {
     return (this.#idleConnections.get(address) ?? []).some((connection) => this.#isWithinKeepAlive(connection) && this.#isToCurrentStart(connection))
   }
 
@@ -88,7 +88,7 @@
   }
 
   /** Closes idle connections that have received nothing since `sinceMs`. */
-  distrustKept (sinceMs: number, address?: string): void {
+  closeIdleInactiveSince (sinceMs: number, address?: string): void {
     const candidates = address === undefined ? [...this.#idleConnections.values()] : [this.#idleConnections.get(address) ?? []]
     candidates.flat().filter(({ lastReceivedAtMs }) => lastReceivedAtMs < sinceMs).forEach((connection) => connection.close())
   }
@@ -115,7 +115,7 @@
   }
 
   #isToCurrentStart ({ address, upstreamStartId }: UpstreamConnection): boolean {
-    const currentStartId = this.#opts.startAt?.(address)
+    const currentStartId = this.#opts.startIdAt?.(address)
     return upstreamStartId === undefined || currentStartId === undefined || upstreamStartId === currentStartId
   }
 
@@ -124,7 +124,7 @@
     this.#evictIdleIfFull()
     const connection = new UpstreamConnection({
       address,
-      upstreamStartId: this.#opts.startAt?.(address),
+      upstreamStartId: this.#opts.startIdAt?.(address),
       clock,
       onIdle: (idle) => this.#keepIdleOrClose(idle),
       onClosed: (closed) => this.#remove(closed),
@@ -159,7 +159,7 @@
     this.#idleConnections.set(address, idle)
     connection.idleSinceMs = this.#opts.clock.nowMs()
     const open = this.#openCounts.get(address) ?? 0
-    const withinShare = open <= 1 || open <= (this.#opts.shareOf?.(address) ?? Number.POSITIVE_INFINITY)
+    const withinShare = open <= 1 || open <= (this.#opts.connectionShareOf?.(address) ?? Number.POSITIVE_INFINITY)
     if (withinShare && idle.length < MAX_IDLE_PER_UPSTREAM) idle.push(connection)
     else connection.close()
   }
--- a/net/http-exchange/test/cancellation.ts
+++ b/net/http-exchange/test/cancellation.ts
@@ -49,7 +49,7 @@
 async function waitForTimeout (): Promise<void> {
   const clock = new SystemClock()
   await clock.sleep(MAX_CLOSE_MS)
-  await clock.settle()
+  await clock.awaitPendingInput()
 }
 
 async function waitUntil (condition: () => boolean): Promise<void> {
--- a/net/http-exchange/test/connectionPool.ts
+++ b/net/http-exchange/test/connectionPool.ts
@@ -219,7 +219,7 @@
     waiting.push(socket)
     if (waiting.length >= batchSize) waiting.splice(0).forEach((one) => one.write(answer('hello')))
   }))
-  const pool = new ConnectionPool({ clock: new SystemClock(), connectTimeoutMs: 5000, shareOf: () => 2 })
+  const pool = new ConnectionPool({ clock: new SystemClock(), connectTimeoutMs: 5000, connectionShareOf: () => 2 })
   t.teardown(() => pool.close())
   const ask = async () => textOf((await pool.exchange(upstream.address, GET, { signal: signal() })).body)
   await Promise.all([ask(), ask(), ask()])
@@ -235,13 +235,13 @@
 test('a connection from before an upstream\'s restart is not reused', async (t) => {
   const upstream = await startUpstream(t, (socket) => socket.on('data', () => socket.write(answer('hello'))))
   let start: string | undefined = 'e@100'
-  const pool = new ConnectionPool({ clock: new SystemClock(), connectTimeoutMs: 5000, startAt: () => start })
+  const pool = new ConnectionPool({ clock: new SystemClock(), connectTimeoutMs: 5000, startIdAt: () => start })
   const ask = async () => textOf((await pool.exchange(upstream.address, GET, { signal: signal() })).body)
   await ask()
   await ask()
   t.is(upstream.connections, 1)
   start = 'e@200'
-  t.false(pool.hasKept(upstream.address))
+  t.false(pool.hasIdle(upstream.address))
   await ask()
   t.is(upstream.connections, 2)
   start = undefined
--- a/net/http-exchange/test/silentConnections.ts
+++ b/net/http-exchange/test/unresponsiveConnections.ts
@@ -5,7 +5,7 @@
 import { type Clock } from '@reelspan/core.env'
 import { SystemClock } from '@reelspan/net.system-env'
 import { VirtualClock } from '@reelspan/utils.fakes'
-import { FaultProxy, Silence } from '@reelspan/utils.soak'
+import { FaultProxy, BlackholeDirection } from '@reelspan/utils.soak'
 import test, { type ExecutionContext } from 'ava'
 
 const GET = { method: 'GET', target: '/', headers: ['Host', 'x'], body: new Uint8Array() }
@@ -50,24 +50,24 @@
   return { upstream, proxy, pool, ask, keepIdle }
 }
 
-for (const direction of Object.values(Silence)) {
+for (const direction of Object.values(BlackholeDirection)) {
   test(`once a reused connection is found unresponsive (${direction}), older idle connections are not reused`, async (t) => {
     const { upstream, proxy, ask, keepIdle } = await startUpstream(t)
     await keepIdle(3)
-    proxy.silenceOpen(direction)
+    proxy.blackholeOpenConnections(direction)
     const error = await t.throwsAsync(ask({ signal: AbortSignal.timeout(CANCEL_AFTER_MS) }), { instanceOf: ExchangeError })
     t.is((error as ExchangeError).verdict, Verdict.MayHaveRun)
     await ask()
     t.is(upstream.connections, 4)
     // No request was sent twice.
-    t.is(upstream.served, direction === Silence.ToClient ? 5 : 4)
+    t.is(upstream.served, direction === BlackholeDirection.ToClient ? 5 : 4)
   })
 }
 
 test('an idle connection that received data after the request on the unresponsive one was sent is reused', async (t) => {
   const { upstream, proxy, ask, keepIdle } = await startUpstream(t)
   await ask()
-  proxy.silenceOpen(Silence.BothWays)
+  proxy.blackholeOpenConnections(BlackholeDirection.BothWays)
   const cancelled = t.throwsAsync(ask({ signal: AbortSignal.timeout(CANCEL_AFTER_MS) }), { instanceOf: ExchangeError })
   await keepIdle(2)
   await cancelled
@@ -79,7 +79,7 @@
   const { upstream, ask, keepIdle } = await startUpstream(t)
   await keepIdle(2)
   upstream.batchSize = Number.POSITIVE_INFINITY
-  await t.throwsAsync(ask({ signal: AbortSignal.timeout(CANCEL_AFTER_MS), fresh: true }), { instanceOf: ExchangeError })
+  await t.throwsAsync(ask({ signal: AbortSignal.timeout(CANCEL_AFTER_MS), forceNewConnection: true }), { instanceOf: ExchangeError })
   upstream.batchSize = 1
   await ask()
   t.is(upstream.connections, 3)
@@ -87,9 +87,9 @@
 
 test('a connection whose exchange was cancelled is not reused', async (t) => {
   const { upstream, proxy, ask } = await startUpstream(t)
-  proxy.silenceOpen(Silence.BothWays)
+  proxy.blackholeOpenConnections(BlackholeDirection.BothWays)
   await ask()
-  proxy.silenceOpen(Silence.ToClient)
+  proxy.blackholeOpenConnections(BlackholeDirection.ToClient)
   await t.throwsAsync(ask({ signal: AbortSignal.timeout(50) }), { instanceOf: ExchangeError })
   await ask()
   t.is(upstream.connections, 2)
@@ -98,7 +98,7 @@
 test('an exchange that requires a new connection does not reuse an idle one', async (t) => {
   const { upstream, ask } = await startUpstream(t)
   await ask()
-  await ask({ fresh: true })
+  await ask({ forceNewConnection: true })
   t.is(upstream.connections, 2)
   await ask()
   t.is(upstream.connections, 2)
@@ -110,10 +110,10 @@
   await keepIdle(2)
   await clock.advance(1000)
   await ask()
-  pool.distrustKept(clock.nowMs())
+  pool.closeIdleInactiveSince(clock.nowMs())
   await ask()
   t.is(upstream.connections, 2)
-  pool.distrustKept(clock.nowMs() + 1)
+  pool.closeIdleInactiveSince(clock.nowMs() + 1)
   await ask()
   t.is(upstream.connections, 3)
 })
--- a/net/http-front/src/createCallerServer.ts
+++ b/net/http-front/src/createCallerServer.ts
@@ -26,7 +26,7 @@
   requestReadMs: number
   connections: number
   /** Called when the server failed to accept a connection. */
-  onFailed?: (error: Error) => void
+  onAcceptError?: (error: Error) => void
 }
 
 const REQUEST_PATH = /^\/v1\/requests\/([^/]+)$/
@@ -38,7 +38,7 @@
   app.silent = true
   app.use(async (ctx) => {
     try {
-      if (ctx.method === 'GET' && ctx.path === '/healthz') answerHealth(ctx, opts.box.ready && opts.box.admission.isProved && guard.takesConnections)
+      if (ctx.method === 'GET' && ctx.path === '/healthz') answerHealth(ctx, opts.box.ready && opts.box.admission.hasFreshProof && guard.acceptsConnections)
       else await serve(ctx, opts)
     } catch (thrown) {
       answerError(ctx, toReelspanError(thrown))
@@ -50,7 +50,7 @@
     requestTimeout: opts.requestReadMs,
     connectionsCheckingInterval: Math.max(100, opts.requestReadMs / 4),
   }, app.callback())
-  const guard = new ConnectionGuard(server, { maxConnections: opts.connections, onFailed: opts.onFailed })
+  const guard = new ConnectionGuard(server, { maxConnections: opts.connections, onAcceptError: opts.onAcceptError })
   return server
 }
 
--- a/net/http-front/src/readCallOptions.ts
+++ b/net/http-front/src/readCallOptions.ts
@@ -1,4 +1,4 @@
-import { readBearerKey } from '@reelspan/accounts.keys'
+import { readBearerKeyDigest } from '@reelspan/accounts.keys'
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
 import { type Context } from 'koa'
 import { Header } from './headers.js'
@@ -25,7 +25,7 @@
   return {
     key: unquoted(ctx.get(Header.IdempotencyKey)) || undefined,
     client,
-    accountKeyDigest: readBearerKey(ctx.req.headersDistinct.authorization ?? []),
+    accountKeyDigest: readBearerKeyDigest(ctx.req.headersDistinct.authorization ?? []),
     notRepeatable: readFlag(ctx.get(Header.NotRepeatable)),
     deadlineMs: readDuration(ctx.get(Header.DeadlineMs)),
   }
--- a/net/http-front/test/callerServer.ts
+++ b/net/http-front/test/callerServer.ts
@@ -8,7 +8,7 @@
 import { type AnswerEvent, AnswerEventKind, type RoutedRequest } from '@reelspan/core.messages'
 import { type CallerBox, createCallerServer, createOperatorServer, type OperatorBox } from '@reelspan/net.http-front'
 import { SystemClock } from '@reelspan/net.system-env'
-import { NO_ACCOUNTS, tuulDeclarations } from '@reelspan/utils.fakes'
+import { NO_ACCOUNTS, sampleDeclarations } from '@reelspan/utils.fakes'
 import test, { type ExecutionContext } from 'ava'
 
 const TOKENS: AnswerEvent[] = ['a', 'b'].map((text, index) => ({ kind: AnswerEventKind.Token, index, text }))
@@ -27,7 +27,7 @@
 async function startServer (t: ExecutionContext, { events = [...TOKENS, FINISHED], boxOverrides, ...limits }: ServerOptions = {}) {
   const requests: RoutedRequest[] = []
   const disconnects: boolean[] = []
-  const { configuration } = checkResources(tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
+  const { configuration } = checkResources(sampleDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
   const box: CallerBox = {
     ready: true,
     admission: NO_ACCOUNTS,
@@ -219,10 +219,10 @@
 
 const BANK_ADMISSION: BoxAdmission = {
   usesAccounts: true,
-  isProved: true,
+  hasFreshProof: true,
   admit: async ({ keyDigest: digest, sizeTokens }) => {
-    if (digest === keyDigest('k1')) return { account: `bank-${sizeTokens ?? 'unsized'}`, giveBack: () => {} }
-    if (digest === undefined) return { giveBack: () => {} }
+    if (digest === keyDigest('k1')) return { account: `bank-${sizeTokens ?? 'unsized'}`, releaseCost: () => {} }
+    if (digest === undefined) return { releaseCost: () => {} }
     throw new ReelspanError(ErrorCode.AccountKey, 'no client account has this key')
   },
 }
--- a/net/peer-link/src/outgoingConnection.ts
+++ b/net/peer-link/src/outgoingConnection.ts
@@ -137,7 +137,7 @@
 
   async * #exchange (message: PeerMessage, isStream: boolean, opts: PeerCallOptions): AsyncGenerator<PeerMessage> {
     const { clock, address } = this.#opts
-    const { endIfSilent: failIfUnresponsive = false } = opts
+    const { failIfUnresponsive = false } = opts
     const openTimeoutMs = failIfUnresponsive ? Math.min(opts.timeoutMs, CONNECT_TIMEOUT_MS) : opts.timeoutMs
     // Most exchanges start on an open connection, so this avoids a timer for them.
     const opened = this.#webSocket.readyState === WebSocket.OPEN ? undefined : await raceTimeout(clock, this.#opened, openTimeoutMs)
@@ -244,7 +244,7 @@
     await clock.sleep(durationMs, { signal: this.#closed.signal })
     if (this.#exchanges.size === 0) return false
     // After a pause of this process, data that arrived in time may not have been read yet.
-    await clock.settle()
+    await clock.awaitPendingInput()
     return this.#tcpSocket?.bytesRead === bytesReadBefore && !this.#closed.signal.aborted && !this.#peerMayBeProcessing
   }
 
@@ -259,7 +259,7 @@
     const outcome = await raceTimeout(clock, connectOutcomeOf(replacement), CONNECT_TIMEOUT_MS)
     // A peer that was only busy answers on both connections once it continues, in any order.
     if (outcome === ConnectOutcome.Connected) await this.#isIdleFor(RECOVERY_GRACE_MS)
-    await clock.settle()
+    await clock.awaitPendingInput()
     const recovered = this.#tcpSocket?.bytesRead !== bytesReadBefore || this.#closed.signal.aborted || this.#peerMayBeProcessing
     if (recovered || outcome !== ConnectOutcome.Connected) replacement.close()
     if (recovered) return
--- a/net/peer-link/src/wsPeerLink.ts
+++ b/net/peer-link/src/wsPeerLink.ts
@@ -23,7 +23,7 @@
   /** The maximum number of connections, half of them for each direction. */
   maxConnections?: number
   /** An outgoing connection received nothing since `sinceMs`, while a new one to the same peer works. */
-  onSilentConnection?: (address: string, sinceMs: number) => void
+  onUnresponsiveConnection?: (address: string, sinceMs: number) => void
 }
 
 /** Carries messages between boxes over WebSocket connections, which are opened on demand, one to each peer. */
@@ -134,7 +134,7 @@
       bytesReadBefore = tcpSocket.bytesRead
       socket.ping()
       await clock.sleep(INCOMING_PING_INTERVAL_MS, { signal: closed.signal })
-      await clock.settle()
+      await clock.awaitPendingInput()
     }
     socket.terminate()
   }
@@ -150,7 +150,7 @@
   }
 
   #connect (address: string): OutgoingConnection {
-    const { clock, maxMessageBytes, idleCloseMs, onSilentConnection: onUnresponsiveConnection } = this.#opts
+    const { clock, maxMessageBytes, idleCloseMs, onUnresponsiveConnection } = this.#opts
     const connection: OutgoingConnection = new OutgoingConnection({
       clock,
       address,
--- a/net/peer-link/test/silentConnections.ts
+++ b/net/peer-link/test/unresponsiveConnections.ts
@@ -2,7 +2,7 @@
 import { type SleepOptions } from '@reelspan/core.env'
 import { WsPeerLink } from '@reelspan/net.peer-link'
 import { SystemClock } from '@reelspan/net.system-env'
-import { FaultProxy, PathFault, Silence } from '@reelspan/utils.soak'
+import { FaultProxy, NetworkFault, BlackholeDirection } from '@reelspan/utils.soak'
 import { freeAddress } from '@reelspan/utils.stand-ins'
 import test, { type ExecutionContext } from 'ava'
 
@@ -48,24 +48,24 @@
   return performance.now() - startMs
 }
 
-for (const direction of Object.values(Silence)) {
+for (const direction of Object.values(BlackholeDirection)) {
   test(`a call on an unresponsive connection (${direction}) fails quickly, and the next call is answered`, async (t) => {
     const { link, proxy, arrived } = await connectThrough(t)
-    proxy.silenceOpen(direction)
+    proxy.blackholeOpenConnections(direction)
     const startMs = performance.now()
     const error = await t.throwsAsync(link.call(proxy.address, REQUEST, LONG_TIMEOUT), { instanceOf: PeerLinkError })
     t.true((error as PeerLinkError).mayHaveArrived)
     t.deepEqual(await link.call(proxy.address, DONE, LONG_TIMEOUT), DONE)
     t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
     // No request was sent twice.
-    t.is(arrived.filter(({ type }) => type === MessageType.Cancel).length, direction === Silence.ToClient ? 1 : 0)
+    t.is(arrived.filter(({ type }) => type === MessageType.Cancel).length, direction === BlackholeDirection.ToClient ? 1 : 0)
   })
 
   test(`a stream on an unresponsive connection (${direction}) fails quickly`, async (t) => {
     const { link, proxy } = await connectThrough(t, { onStream: async function * () { yield DONE; await new Promise(() => {}) } })
     const parts = link.stream(proxy.address, REQUEST, LONG_TIMEOUT)[Symbol.asyncIterator]()
     await parts.next()
-    proxy.silenceOpen(direction)
+    proxy.blackholeOpenConnections(direction)
     const startMs = performance.now()
     const error = await t.throwsAsync(Promise.resolve(parts.next()), { instanceOf: PeerLinkError })
     t.true((error as PeerLinkError).mayHaveArrived)
@@ -86,16 +86,16 @@
 
 test('a call waits for a peer that is unresponsive on new connections as well', async (t) => {
   const { link, proxy } = await connectThrough(t)
-  proxy.fault = PathFault.Silent
+  proxy.fault = NetworkFault.Silent
   const waiting = link.call(proxy.address, REQUEST, LONG_TIMEOUT)
   await new SystemClock().sleep(1000)
-  proxy.fault = PathFault.None
+  proxy.fault = NetworkFault.None
   t.deepEqual(await waiting, DONE)
 })
 
 test('a repeatable call on an unresponsive connection is sent again on a new one', async (t) => {
   const { link, proxy, arrived } = await connectThrough(t)
-  proxy.silenceOpen(Silence.ToClient)
+  proxy.blackholeOpenConnections(BlackholeDirection.ToClient)
   const startMs = performance.now()
   t.deepEqual(await link.call(proxy.address, REQUEST, { ...LONG_TIMEOUT, repeatable: true }), DONE)
   t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
@@ -104,9 +104,9 @@
 
 test('a call with `failIfUnresponsive` fails quickly if the peer is unresponsive on new connections as well', async (t) => {
   const { link, proxy } = await connectThrough(t)
-  proxy.fault = PathFault.Silent
+  proxy.fault = NetworkFault.Silent
   const startMs = performance.now()
-  const error = await t.throwsAsync(link.call(proxy.address, REQUEST, { ...LONG_TIMEOUT, endIfSilent: true }), { instanceOf: PeerLinkError })
+  const error = await t.throwsAsync(link.call(proxy.address, REQUEST, { ...LONG_TIMEOUT, failIfUnresponsive: true }), { instanceOf: PeerLinkError })
   t.true((error as PeerLinkError).mayHaveArrived)
   t.false((error as PeerLinkError).silent)
   t.true(elapsedSince(startMs) < MAX_DETECTION_MS)
@@ -120,12 +120,12 @@
     listenAddress: await freeAddress(),
     maxMessageBytes: 10_000,
     idleCloseMs: 60_000,
-    onSilentConnection: (address, sinceMs) => reported.push({ address, sinceMs }),
+    onUnresponsiveConnection: (address, sinceMs) => reported.push({ address, sinceMs }),
   })
   t.teardown(() => link.close())
   await link.call(peer.proxy.address, DONE, LONG_TIMEOUT)
   const startMs = performance.now()
-  peer.proxy.silenceOpen(Silence.BothWays)
+  peer.proxy.blackholeOpenConnections(BlackholeDirection.BothWays)
   await t.throwsAsync(link.call(peer.proxy.address, REQUEST, LONG_TIMEOUT))
   t.like(reported, [{ address: peer.proxy.address }])
   t.true(reported[0].sinceMs >= startMs && reported[0].sinceMs < performance.now())
@@ -143,7 +143,7 @@
   }, new FastClock())
   const parts = link.stream(proxy.address, REQUEST, { timeoutMs: 6_000_000 })[Symbol.asyncIterator]()
   await parts.next()
-  proxy.silenceOpen(Silence.BothWays)
+  proxy.blackholeOpenConnections(BlackholeDirection.BothWays)
   await t.notThrowsAsync(stopDetected)
   await parts.return?.()
 })
--- a/net/platform-http/test/httpPlatformReader.ts
+++ b/net/platform-http/test/httpPlatformReader.ts
@@ -3,10 +3,10 @@
 import { Collection } from '@reelspan/core.messages'
 import { HttpPlatformReader } from '@reelspan/net.platform-http'
 import { VirtualClock } from '@reelspan/utils.fakes'
-import { FaultProxy, Silence } from '@reelspan/utils.soak'
+import { FaultProxy, BlackholeDirection } from '@reelspan/utils.soak'
 import test from 'ava'
 
-for (const direction of Object.values(Silence)) {
+for (const direction of Object.values(BlackholeDirection)) {
   test(`a read on an unresponsive connection (${direction}) times out after its wait, and later reads use new connections only`, async (t) => {
     const waiting: (() => void)[] = []
     // The maximum number of connections of the reader.
@@ -33,8 +33,8 @@
     await Promise.all([read(), read(), read(), read()])
     batchSize = 1
     batchSize = 1
-    proxy.silenceOpen(direction)
-    const arrived = direction === Silence.ToClient ? once(server, 'request') : undefined
+    proxy.blackholeOpenConnections(direction)
+    const arrived = direction === BlackholeDirection.ToClient ? once(server, 'request') : undefined
     const failed = t.throwsAsync(read(), { code: 'ERR_REELSPAN_PLATFORM_UNAVAILABLE' })
     await arrived
     await clock.advance(299)
--- a/net/system-env/src/connectionGuard.ts
+++ b/net/system-env/src/connectionGuard.ts
@@ -4,9 +4,9 @@
 export interface ConnectionGuardOptions {
   maxConnections: number
   /** Called when the server becomes full or is no longer full, with its number of connections. */
-  onFull?: (full: boolean, connections: number) => void
+  onFullChanged?: (full: boolean, connections: number) => void
   /** Called when the server fails to accept a connection, once until it accepts one again. */
-  onFailed?: (error: Error) => void
+  onAcceptError?: (error: Error) => void
 }
 
 /** The share of its maximum connections from which on a server closes idle ones. Below it, a full server is no longer full. */
@@ -33,7 +33,7 @@
   }
 
   /** Whether the server would accept a new connection now. */
-  get takesConnections (): boolean {
+  get acceptsConnections (): boolean {
     return this.#server.listening && !this.#failed && !this.#full
   }
 
@@ -51,12 +51,12 @@
 
   /** Reports only the first failure, since a listener without free descriptors may fail many times a second. */
   #onError (error: Error): void {
-    if (!this.#failed) this.#opts.onFailed?.(error)
+    if (!this.#failed) this.#opts.onAcceptError?.(error)
     this.#failed = true
   }
 
   #updateFull (): void {
-    const { maxConnections, onFull: onFullChanged } = this.#opts
+    const { maxConnections, onFullChanged } = this.#opts
     const full = this.#connections >= (this.#full ? CLOSE_IDLE_SHARE : FULL_SHARE) * maxConnections
     if (full === this.#full) return
     this.#full = full
--- a/net/system-env/src/loopDelay.ts
+++ b/net/system-env/src/loopDelay.ts
@@ -19,7 +19,7 @@
   readonly #delays = build({ lowestDiscernibleValue: 1, highestTrackableValue: MAX_DELAY_MS, numberOfSignificantValueDigits: 2, useWebAssembly: false })
 
   /** Records how late a timer fired. */
-  note (lateMs: number): void {
+  record (lateMs: number): void {
     this.#delays.recordValue(Math.min(MAX_DELAY_MS, Math.max(0, Math.floor(lateMs))))
   }
 
--- a/net/system-env/src/systemClock.ts
+++ b/net/system-env/src/systemClock.ts
@@ -11,9 +11,9 @@
 
 export interface SystemClockOptions {
   /** Called with how late a timer fired. */
-  onLate?: (lateMs: number) => void
+  onLateTimer?: (lateMs: number) => void
   /** Returns whether the machine was suspended, after its wall clock jumped ahead by `durationMs`. Every jump counts as a suspension without it. */
-  wasSuspended?: (durationMs: number) => Promise<boolean>
+  confirmSuspension?: (durationMs: number) => Promise<boolean>
   /** The process's monotonic clock, which stops while the machine is suspended. */
   monotonicMs?: () => number
   /** The wall clock, which goes on while the machine is suspended. */
@@ -70,7 +70,7 @@
         resolve()
       }
       const onTimer = () => {
-        this.#opts.onLate?.(this.nowMs() - dueMs)
+        this.#opts.onLateTimer?.(this.nowMs() - dueMs)
         done()
       }
       const pendingSleep: PendingSleep = {
@@ -86,7 +86,7 @@
   }
 
   /** Lets the event loop read its sockets: one turn to reach the poll phase, and one more for callbacks scheduled there. */
-  async settle (): Promise<void> {
+  async awaitPendingInput (): Promise<void> {
     await new Promise((resolve) => setImmediate(resolve))
     await new Promise((resolve) => setImmediate(resolve))
   }
@@ -100,7 +100,7 @@
   }
 
   async #addSuspension (durationMs: number): Promise<void> {
-    if (this.#opts.wasSuspended && !await this.#opts.wasSuspended(durationMs)) return
+    if (this.#opts.confirmSuspension && !await this.#opts.confirmSuspension(durationMs)) return
     this.#suspendedMs += durationMs;
     [...this.#pendingSleeps].forEach(({ resetTimer }) => resetTimer())
   }
--- a/net/system-env/test/connectionGuard.ts
+++ b/net/system-env/test/connectionGuard.ts
@@ -14,7 +14,7 @@
   const server = createServer((_, response: ServerResponse) => {
     answers.push(() => response.end('done'))
   })
-  const guard = new ConnectionGuard(server, { maxConnections: MAX_CONNECTIONS, onFull: (full) => fullChanges.push(full), onFailed: ({ message }) => failures.push(message) })
+  const guard = new ConnectionGuard(server, { maxConnections: MAX_CONNECTIONS, onFullChanged: (full) => fullChanges.push(full), onAcceptError: ({ message }) => failures.push(message) })
   await listenAt(server, '127.0.0.1:0')
   const sockets: Socket[] = []
   t.teardown(() => {
@@ -47,16 +47,16 @@
 
 test('a server at its connection limit reports that it accepts none until enough are closed', async (t) => {
   const { server, guard, ask, fullChanges } = await startServer(t)
-  t.true(guard.takesConnections)
+  t.true(guard.acceptsConnections)
   const sockets: Socket[] = []
   for (let i = 0; i < MAX_CONNECTIONS; i++) sockets.push(await ask())
-  t.false(guard.takesConnections)
+  t.false(guard.acceptsConnections)
   await closeOf(server, sockets[0])
   // One free connection is not enough, so that the state does not flap.
-  t.false(guard.takesConnections)
+  t.false(guard.acceptsConnections)
   await closeOf(server, sockets[1])
   await closeOf(server, sockets[2])
-  while (!guard.takesConnections) await new Promise((resolve) => setImmediate(resolve))
+  while (!guard.acceptsConnections) await new Promise((resolve) => setImmediate(resolve))
   t.deepEqual(fullChanges, [true, false])
 })
 
@@ -70,7 +70,7 @@
   for (let i = 1; i < MAX_CONNECTIONS; i++) busy.push(await ask())
   await closed
   t.true(busy.every((socket) => !socket.destroyed))
-  t.true(guard.takesConnections)
+  t.true(guard.acceptsConnections)
 })
 
 test('a listener\'s failure does not end the process, and the server counts as not accepting until it accepts a connection again', async (t) => {
@@ -78,9 +78,9 @@
   const outOfDescriptors = Object.assign(new Error('accept EMFILE'), { code: 'EMFILE' })
   server.emit('error', outOfDescriptors)
   server.emit('error', outOfDescriptors)
-  t.false(guard.takesConnections)
+  t.false(guard.acceptsConnections)
   await ask()
-  t.true(guard.takesConnections)
+  t.true(guard.acceptsConnections)
 })
 
 test('a listener\'s failure is reported once until it accepts a connection again', async (t) => {
@@ -95,7 +95,7 @@
 })
 
 test('a server that does not listen accepts no connections', async (t) => {
-  t.false(new ConnectionGuard(createServer(), { maxConnections: MAX_CONNECTIONS }).takesConnections)
+  t.false(new ConnectionGuard(createServer(), { maxConnections: MAX_CONNECTIONS }).acceptsConnections)
 })
 
 test('the shares of all kinds of connections leave some descriptors', (t) => {
--- a/net/system-env/test/loopDelay.ts
+++ b/net/system-env/test/loopDelay.ts
@@ -25,7 +25,7 @@
 
 test('the delay includes pauses of the event loop since the last collection', async (t) => {
   const loopDelay = new LoopDelay()
-  const clock = new SystemClock({ onLate: (lateMs) => loopDelay.note(lateMs) })
+  const clock = new SystemClock({ onLateTimer: (lateMs) => loopDelay.record(lateMs) })
   const slept = clock.sleep(10)
   await runSlowTurns(2)
   await slept
@@ -36,7 +36,7 @@
 
 test('a sleep that is aborted is not recorded as late', async (t) => {
   const loopDelay = new LoopDelay()
-  const clock = new SystemClock({ onLate: (lateMs) => loopDelay.note(lateMs) })
+  const clock = new SystemClock({ onLateTimer: (lateMs) => loopDelay.record(lateMs) })
   const stop = new AbortController()
   const slept = clock.sleep(10, { signal: stop.signal })
   stop.abort()
--- a/net/system-env/test/systemClock.ts
+++ b/net/system-env/test/systemClock.ts
@@ -1,6 +1,6 @@
-import { PauseWatch } from '@reelspan/core.env'
+import { PauseDetector } from '@reelspan/core.env'
 import { SystemClock } from '@reelspan/net.system-env'
-import { OrderRight } from '@reelspan/upstream.orders'
+import { OrderLease } from '@reelspan/upstream.orders'
 import test from 'ava'
 
 /** A machine that can be suspended: its monotonic clock stops while its wall clock goes on. */
@@ -17,7 +17,7 @@
     suspended.push(durationMs)
     return isSuspension
   }
-  const clock = new SystemClock({ monotonicMs: () => monotonicMs, wallClockMs: () => wallClockMs, wasSuspended: confirmSuspension })
+  const clock = new SystemClock({ monotonicMs: () => monotonicMs, wallClockMs: () => wallClockMs, confirmSuspension })
   return { clock, suspended, pass, moveWallClock }
 }
 
@@ -29,7 +29,7 @@
   moveWallClock(4000)
   pass(2)
   clock.nowMs()
-  await clock.settle()
+  await clock.awaitPendingInput()
   t.is(clock.nowMs() - fromMs, 5002)
   pass(100)
   t.is(clock.nowMs() - fromMs, 5102)
@@ -58,7 +58,7 @@
   moveWallClock(4000)
   pass(2)
   clock.nowMs()
-  await clock.settle()
+  await clock.awaitPendingInput()
   t.is(clock.nowMs() - fromMs, 2)
   t.deepEqual(suspended, [4000])
 })
@@ -81,17 +81,17 @@
 test('an order lease that expired during a suspension is invalid right after it', async (t) => {
   const { clock, pass, moveWallClock } = startMachine()
   let contactMs = clock.nowMs()
-  const lease = new OrderRight({ clock, lifeMs: 2000, lastContactMs: () => contactMs, pauses: new PauseWatch({ clock }) })
-  lease.take()
+  const lease = new OrderLease({ clock, durationMs: 2000, lastContactMs: () => contactMs, pauses: new PauseDetector({ clock }) })
+  lease.acquire()
   for (let i = 0; i < 50; i++) {
     pass(100)
     contactMs = clock.nowMs()
-    lease.holds()
+    lease.isValid()
   }
-  t.true(lease.holds())
+  t.true(lease.isValid())
   moveWallClock(3000)
   pass(2)
   clock.nowMs()
-  await clock.settle()
-  t.false(lease.holds())
+  await clock.awaitPendingInput()
+  t.false(lease.isValid())
 })
--- a/net/upstream-http/test/httpEngineClient.ts
+++ b/net/upstream-http/test/httpEngineClient.ts
@@ -3,7 +3,7 @@
 import { Verdict } from '@reelspan/core.error'
 import { EngineRole, UpstreamError } from '@reelspan/upstream.client'
 import { EngineModel, promptFor, ServiceModel } from '@reelspan/utils.fakes'
-import { createEngineServer, createServiceServer, httpExport, listenOn } from '@reelspan/utils.stand-ins'
+import { createEngineServer, createServiceServer, fetchPrefillResultOverHttp, listenOn } from '@reelspan/utils.stand-ins'
 import test, { type ExecutionContext } from 'ava'
 
 const OPTS = { timeoutMs: 2000 }
@@ -11,7 +11,7 @@
 const MODEL = { model: 'draft', version: '1' }
 
 async function startEngine (t: ExecutionContext, role: EngineRole) {
-  const engine = new EngineModel({ clock: new SystemClock(), name: role, role, loaded: [MODEL], exportFrom: httpExport })
+  const engine = new EngineModel({ clock: new SystemClock(), name: role, role, loaded: [MODEL], exportFrom: fetchPrefillResultOverHttp })
   const server = createEngineServer(engine)
   const address = await listenOn(server)
   t.teardown(() => { server.closeAllConnections() })
--- a/net/upstream-probe/src/tcpUpstreamProbe.ts
+++ b/net/upstream-probe/src/tcpUpstreamProbe.ts
@@ -1,7 +1,7 @@
 import { connect } from 'node:net'
 import { type Clock, raceTimeout, TimedOut } from '@reelspan/core.env'
 import { splitAddress } from '@reelspan/net.system-env'
-import { UpstreamPresence, UpstreamProbe } from '@reelspan/upstream.client'
+import { UpstreamProbeResult, UpstreamProbe } from '@reelspan/upstream.client'
 
 export interface TcpUpstreamProbeOptions {
   clock: Clock
@@ -20,15 +20,15 @@
     this.#opts = opts
   }
 
-  async look (address: string): Promise<UpstreamPresence> {
+  async probe (address: string): Promise<UpstreamProbeResult> {
     const socket = connect(splitAddress(address))
-    const presence = new Promise<UpstreamPresence>((resolve) => {
-      socket.once('connect', () => resolve(UpstreamPresence.Listens))
+    const presence = new Promise<UpstreamProbeResult>((resolve) => {
+      socket.once('connect', () => resolve(UpstreamProbeResult.Listening))
       // A reset is not a refusal: upstreams reset connections that they have no room for.
-      socket.once('error', ({ code }: NodeJS.ErrnoException) => resolve(code === REFUSED ? UpstreamPresence.Refuses : UpstreamPresence.Silent))
+      socket.once('error', ({ code }: NodeJS.ErrnoException) => resolve(code === REFUSED ? UpstreamProbeResult.Refused : UpstreamProbeResult.Unresponsive))
     })
     const seen = await raceTimeout(this.#opts.clock, presence, TIMEOUT_MS)
     socket.destroy()
-    return seen === TimedOut ? UpstreamPresence.Silent : seen
+    return seen === TimedOut ? UpstreamProbeResult.Unresponsive : seen
   }
 }
--- a/net/upstream-probe/test/tcpUpstreamProbe.ts
+++ b/net/upstream-probe/test/tcpUpstreamProbe.ts
@@ -2,7 +2,7 @@
 import { type AddressInfo, createServer } from 'node:net'
 import { SystemClock } from '@reelspan/net.system-env'
 import { TcpUpstreamProbe } from '@reelspan/net.upstream-probe'
-import { UpstreamPresence } from '@reelspan/upstream.client'
+import { UpstreamProbeResult } from '@reelspan/upstream.client'
 import test from 'ava'
 
 test('an upstream that listens and one whose process has ended are told apart', async (t) => {
@@ -10,8 +10,8 @@
   const server = createServer().listen(0, '127.0.0.1')
   await once(server, 'listening')
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
-  t.is(await probe.look(address), UpstreamPresence.Listens)
+  t.is(await probe.probe(address), UpstreamProbeResult.Listening)
   server.close()
   await once(server, 'close')
-  t.is(await probe.look(address), UpstreamPresence.Refuses)
+  t.is(await probe.probe(address), UpstreamProbeResult.Refused)
 })
--- a/request/owner/src/completionRun.ts
+++ b/request/owner/src/completionRun.ts
@@ -3,8 +3,8 @@
 import { type Clock } from '@reelspan/core.env'
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
 import { hash32, prefixDigests, tokensOfText } from '@reelspan/core.hashing'
-import { AnswerEventKind, type CompletionRequest, type HoldLabel, type PlacementPlan, type PlacementRefusal, type PlacementReport, sameHolder } from '@reelspan/core.messages'
-import { type BrokenRuns } from '@reelspan/request.quarantine'
+import { AnswerEventKind, type CompletionRequest, type HoldLabel, type PlacementPlan, type PlacementRefusal, type PlacementReport, isSameHolder } from '@reelspan/core.messages'
+import { type InterruptedRuns } from '@reelspan/request.quarantine'
 import { type Placement, type Placer, type PlaceRequest } from '@reelspan/scheduling.placer'
 import { type EngineClient, type PrefillResult, UpstreamError } from '@reelspan/upstream.client'
 import { reportInterruption } from './reportInterruption.js'
@@ -16,12 +16,12 @@
   clock: Clock
   engines: EngineClient
   placer: Placer
-  standing: () => { peerAddress: string, incarnation: string }
+  self: () => { peerAddress: string, incarnation: string }
   configuration: () => Configuration
   fleet: () => FleetList
   upstreamTimeoutMs: number
   /** Records answers of upstreams that were interrupted. */
-  brokenRuns: BrokenRuns
+  interruptedRuns: InterruptedRuns
 }
 
 /** How often one interrupted decode stream is resumed at its engine. */
@@ -108,7 +108,7 @@
   }
 
   #nextLabel (): HoldLabel {
-    const { peerAddress, incarnation } = this.#opts.standing()
+    const { peerAddress, incarnation } = this.#opts.self()
     return { ownerAddress: peerAddress, ownerIncarnation: incarnation, requestId: this.#run.nextAttempt(), maxHoldMs: this.#run.remainingMs }
   }
 
@@ -144,7 +144,7 @@
     this.#checkTakesWork(plan.prefillEngine)
     this.#checkTakesWork(plan.decodeEngine)
     const prefilled = await this.#prefill(label, plan)
-    placement.prefilled()
+    placement.recordPrefillEnd()
     // A non-repeatable request that has begun cannot move to another engine, and a draining engine still finishes its work.
     if (!this.#request.notRepeatable) this.#checkTakesWork(plan.decodeEngine)
     const tokensBefore = this.#generated.length
@@ -169,7 +169,7 @@
     const result = await this.#trackFailure(plan.prefillEngine, plan.prefillAddress, () =>
       this.#run.dispatch(() => engines.prefill(plan.prefillAddress, request, this.#callOptions())))
     this.#timings.prefilledTokens += result.promptTokens - result.cachedTokens
-    if (!sameHolder(result.label, label)) throw new UpstreamError(`${plan.prefillEngine} returned the answer of a different request`, { mayHaveRun: true })
+    if (!isSameHolder(result.label, label)) throw new UpstreamError(`${plan.prefillEngine} returned the answer of a different request`, { mayHaveRun: true })
     return result
   }
 
@@ -203,7 +203,7 @@
     let ended = false
     await this.#trackFailure(plan.decodeEngine, plan.decodeAddress, async () => {
       for await (const event of engines.decode(plan.decodeAddress, request, this.#callOptions())) {
-        if (!sameHolder(event.label, label)) throw new UpstreamError(`${plan.decodeEngine} sent a token of a different answer`, { mayHaveRun: true })
+        if (!isSameHolder(event.label, label)) throw new UpstreamError(`${plan.decodeEngine} sent a token of a different answer`, { mayHaveRun: true })
         if (event.end) {
           // Read to the end of the stream: abandoning it early would close its connection.
           this.#checkComplete(event.count, plan)
@@ -211,7 +211,7 @@
           continue
         }
         this.#appendToken(event.index, event.text, plan)
-        placement.progressed(this.#generated.length - firstIndex)
+        placement.recordProgress(this.#generated.length - firstIndex)
       }
       if (!ended) throw new UpstreamError(`${plan.decodeEngine} closed the stream before its end`, { mayHaveRun: true })
     })
@@ -249,7 +249,7 @@
       return await work()
     } catch (thrown) {
       if (thrown instanceof UpstreamError) this.#failedEngines.add(engine)
-      reportInterruption(this.#opts.brokenRuns, this.#run, { request: this.#request, upstream: engine, address, sentAtMs }, thrown)
+      reportInterruption(this.#opts.interruptedRuns, this.#run, { request: this.#request, upstream: engine, address, sentAtMs }, thrown)
       throw thrown
     }
   }
--- a/request/owner/src/owner.ts
+++ b/request/owner/src/owner.ts
@@ -1,13 +1,13 @@
 import { createHash } from 'node:crypto'
 import { type Configuration } from '@reelspan/config.resources'
 import { type FleetList } from '@reelspan/config.fleet'
-import { type Clock, Notifier, type PauseWatch, type Random, STOPPED, type TaskErrorListener, TaskGroup } from '@reelspan/core.env'
+import { type Clock, Notifier, type PauseDetector, type Random, STOPPED, type TaskErrorListener, TaskGroup } from '@reelspan/core.env'
 import { ErrorCode, ReelspanError, toReelspanError, Verdict } from '@reelspan/core.error'
 import { RequestKind, type RoutedRequest } from '@reelspan/core.messages'
 import { type EngineClient, type ServiceClient } from '@reelspan/upstream.client'
 import { parseRequestKey } from '@reelspan/request.key'
 import { identityOfRouted, once, type RequestIdentity } from '@reelspan/request.identity'
-import { type BrokenRuns, type Quarantine } from '@reelspan/request.quarantine'
+import { type InterruptedRuns, type Quarantine } from '@reelspan/request.quarantine'
 import { type RecordStore, type RequestRecord } from '@reelspan/request.records'
 import { type Placer } from '@reelspan/scheduling.placer'
 import { CompletionRun } from './completionRun.js'
@@ -35,7 +35,7 @@
   services: ServiceClient
   placer: Placer
   records: RecordStore
-  standing: () => BoxIdentity
+  self: () => BoxIdentity
   configuration: () => Configuration
   fleet: () => FleetList
   /** How long after its issue a key prefix may start new requests. */
@@ -44,11 +44,11 @@
   rejoinGraceMs: number
   upstreamTimeoutMs: number
   /** Records answers of upstreams that were interrupted. */
-  brokenRuns: BrokenRuns
+  interruptedRuns: InterruptedRuns
   /** Blocks requests that have repeatedly made upstreams exit. */
   quarantine: Quarantine
   /** Detects pauses of this process. */
-  pauses: PauseWatch
+  pauses: PauseDetector
   /** When most of the watched peers last answered. */
   lastContactMs: () => number
   hasPeers: () => boolean
@@ -120,7 +120,7 @@
   }
 
   /** Returns those of an incarnation's requests that still run here. */
-  vouch (ownerIncarnation: string, requestIds: readonly string[]): string[] {
+  confirmRunning (ownerIncarnation: string, requestIds: readonly string[]): string[] {
     const runningIds = new Set([...this.#running.values()]
       .filter(({ incarnation }) => incarnation === ownerIncarnation)
       .map(({ run }) => run.currentRequestId))
@@ -128,17 +128,17 @@
   }
 
   /** Announces that this box stops after `durationMs`. Accepts only new requests whose deadlines end before. */
-  endWithin (durationMs: number): void {
+  scheduleStop (durationMs: number): void {
     this.#stopsAtMs = this.#opts.clock.nowMs() + durationMs
   }
 
   /** Refuses new requests from now on. Running requests continue and can be joined. */
-  closeForNew (): void {
+  stopAccepting (): void {
     this.#acceptingStopped = true
   }
 
   /** Resolves once no request runs, or the signal is aborted. */
-  async waitIdle (signal: AbortSignal): Promise<void> {
+  async waitUntilIdle (signal: AbortSignal): Promise<void> {
     while (this.#running.size > 0 && !signal.aborted) await this.#ended.wait(signal)
   }
 
@@ -163,11 +163,11 @@
   }
 
   #checkKey (request: RoutedRequest): void {
-    const { clock, records, standing, prefixLifeMs } = this.#opts
+    const { clock, records, self, prefixLifeMs } = this.#opts
     const { owner } = parseRequestKey(request.key)
     if (!owner) return
-    const { incarnation } = standing()
-    const issuerClockMs = owner.incarnation === incarnation ? clock.nowMs() : records.clockOf(owner.incarnation)
+    const { incarnation } = self()
+    const issuerClockMs = owner.incarnation === incarnation ? clock.nowMs() : records.estimateClockMs(owner.incarnation)
     if (issuerClockMs === undefined) {
       throw new ReelspanError(ErrorCode.OwnerGone, 'the process that the key names has exited, and its records are lost', {
         verdict: Verdict.MayHaveRun,
@@ -189,8 +189,8 @@
   }
 
   #start (record: RequestRecord, request: RoutedRequest): void {
-    const { incarnation } = this.#opts.standing()
-    const isCurrentIncarnation = () => this.#opts.standing().incarnation === incarnation
+    const { incarnation } = this.#opts.self()
+    const isCurrentIncarnation = () => this.#opts.self().incarnation === incarnation
     const acceptedAtMs = this.#opts.clock.nowMs()
     const identity = once(() => identityOfRouted(request))
     const run = new RunContext({
--- a/request/owner/src/runContext.ts
+++ b/request/owner/src/runContext.ts
@@ -79,7 +79,7 @@
 
   /** Called right before a message that an upstream acts on: processes pending input, then throws if the run must not go on. */
   async checkBeforeSend (): Promise<void> {
-    await this.#opts.clock.settle()
+    await this.#opts.clock.awaitPendingInput()
     if (!this.#opts.isCurrentIncarnation()) this.end(new ReelspanError(ErrorCode.OwnerGone, 'this box was declared gone by its peers'))
     const refusal = this.#opts.refusal()
     if (refusal) this.end(refusal)
@@ -148,7 +148,7 @@
     const { clock } = this.#opts
     await clock.sleep(this.remainingMs, { signal: this.signal })
     // After a pause of this process, an answer that arrived in time may still be unread.
-    await clock.settle()
+    await clock.awaitPendingInput()
     if (!this.signal.aborted) this.#endAtDeadline()
   }
 
--- a/request/owner/src/takeoverGuard.ts
+++ b/request/owner/src/takeoverGuard.ts
@@ -1,7 +1,7 @@
-import { type PauseWatch } from '@reelspan/core.env'
+import { type PauseDetector } from '@reelspan/core.env'
 
 export interface TakeoverGuardOptions {
-  pauses: PauseWatch
+  pauses: PauseDetector
   /** When most of the watched peers last answered. Ignored if the box has no peers. */
   lastContactMs: () => number
   hasPeers: () => boolean
@@ -25,7 +25,7 @@
   /** Whether no other box can have taken over a request that was accepted here at `acceptedAtMs`. */
   isExclusiveSince (acceptedAtMs: number): boolean {
     const { pauses, lastContactMs, hasPeers } = this.#opts
-    const resumedAtMs = pauses.wokeAtMs(PAUSE_MS)
+    const resumedAtMs = pauses.resumedAtMs(PAUSE_MS)
     const inContactSince = lastContactMs() > resumedAtMs || !hasPeers()
     return acceptedAtMs > resumedAtMs && inContactSince
   }
--- a/request/quarantine/src/index.ts
+++ b/request/quarantine/src/index.ts
@@ -1,4 +1,4 @@
-export { InterruptedRuns as BrokenRuns } from './interruptedRuns.js'
+export { InterruptedRuns } from './interruptedRuns.js'
 export type { InterruptedRun, InterruptedRunsOptions, UpstreamExitRun } from './interruptedRuns.js'
 export { judgeRequest, MAX_UPSTREAM_EXITS, MAX_UPSTREAM_EXITS_IF_AMBIGUOUS } from './judgeRequest.js'
 export { Quarantine, QUARANTINE_MS } from './quarantine.js'
--- a/request/quarantine/src/interruptedRuns.ts
+++ b/request/quarantine/src/interruptedRuns.ts
@@ -3,7 +3,7 @@
 import { type RequestIdentity } from '@reelspan/request.identity'
 import { type Log, LogEvent } from '@reelspan/telemetry.log'
 import { type Metrics } from '@reelspan/telemetry.metrics'
-import { UpstreamPresence, type UpstreamProbe } from '@reelspan/upstream.client'
+import { UpstreamProbeResult, type UpstreamProbe } from '@reelspan/upstream.client'
 
 /** A request that was sent to an upstream and whose answer was interrupted or did not arrive. */
 export interface InterruptedRun {
@@ -21,7 +21,7 @@
 /** An interrupted run with the time of its interruption. Passed on once its upstream's process is found to have exited. */
 export interface UpstreamExitRun extends InterruptedRun {
   /** When the run was interrupted. */
-  brokeAtMs: number
+  interruptedAtMs: number
 }
 
 export interface InterruptedRunsOptions {
@@ -32,7 +32,7 @@
   /** The list of upstreams in force at this box. */
   fleet: () => FleetList
   /** Called when the upstream's process is found to have exited. */
-  onUpstreamEnded: (run: UpstreamExitRun) => void
+  onUpstreamExited: (run: UpstreamExitRun) => void
 }
 
 /** The list removes an exited upstream after three missed heartbeats, some 4 s; the rest allows for late updates. */
@@ -49,7 +49,7 @@
 export class InterruptedRuns {
   readonly #opts: InterruptedRunsOptions
   /** Checks in flight by address, since all runs of an upstream are interrupted at the same time. */
-  readonly #pendingChecks = new Map<string, Promise<UpstreamPresence>>()
+  readonly #pendingChecks = new Map<string, Promise<UpstreamProbeResult>>()
   #undetermined: UpstreamExitRun[] = []
 
   constructor (opts: InterruptedRunsOptions) {
@@ -58,32 +58,32 @@
 
   /** Checks the upstream and logs the result. Never rejects. */
   async record (run: InterruptedRun): Promise<void> {
-    const interrupted: UpstreamExitRun = { ...run, brokeAtMs: this.#opts.clock.nowMs() }
+    const interrupted: UpstreamExitRun = { ...run, interruptedAtMs: this.#opts.clock.nowMs() }
     const presence = await this.#checkUpstream(run.address)
     this.#report(interrupted, presence)
-    if (presence === UpstreamPresence.Refuses) this.#opts.onUpstreamEnded(interrupted)
-    if (presence === UpstreamPresence.Silent) this.#undetermined = [...this.#undetermined, interrupted].slice(-MAX_UNDETERMINED)
+    if (presence === UpstreamProbeResult.Refused) this.#opts.onUpstreamExited(interrupted)
+    if (presence === UpstreamProbeResult.Unresponsive) this.#undetermined = [...this.#undetermined, interrupted].slice(-MAX_UNDETERMINED)
   }
 
   /** Called when the list changes: upstreams that were removed from it without draining first have exited. */
-  noteFleet (): void {
-    const { clock, fleet, onUpstreamEnded } = this.#opts
+  onFleetChanged (): void {
+    const { clock, fleet, onUpstreamExited } = this.#opts
     const list = fleet()
-    const recent = this.#undetermined.filter(({ brokeAtMs }) => brokeAtMs > clock.nowMs() - UNDETERMINED_TTL_MS)
+    const recent = this.#undetermined.filter(({ interruptedAtMs }) => interruptedAtMs > clock.nowMs() - UNDETERMINED_TTL_MS)
     this.#undetermined = recent.filter(({ upstream }) => list.takesWork(upstream))
-    recent.filter(({ upstream }) => list.upstream(upstream) === undefined).forEach((run) => onUpstreamEnded(run))
+    recent.filter(({ upstream }) => list.upstream(upstream) === undefined).forEach((run) => onUpstreamExited(run))
   }
 
-  #report ({ request, route, identity, upstream, reason, sentAtMs, brokeAtMs }: UpstreamExitRun, presence: UpstreamPresence): void {
+  #report ({ request, route, identity, upstream, reason, sentAtMs, interruptedAtMs }: UpstreamExitRun, presence: UpstreamProbeResult): void {
     const { log, metrics } = this.#opts
     metrics.count('reelspan_runs_broken_off_total', { presence })
-    log.info(LogEvent.RunBrokeOff, { request, route, upstream, presence, ranMs: Math.round(brokeAtMs - sentAtMs), contentHash: identity.content, callerHash: identity.caller, reason })
+    log.info(LogEvent.RunBrokeOff, { request, route, upstream, presence, ranMs: Math.round(interruptedAtMs - sentAtMs), contentHash: identity.content, callerHash: identity.caller, reason })
   }
 
-  #checkUpstream (address: string): Promise<UpstreamPresence> {
+  #checkUpstream (address: string): Promise<UpstreamProbeResult> {
     const pending = this.#pendingChecks.get(address)
     if (pending) return pending
-    const check = this.#opts.probe.look(address).finally(() => this.#pendingChecks.delete(address))
+    const check = this.#opts.probe.probe(address).finally(() => this.#pendingChecks.delete(address))
     this.#pendingChecks.set(address, check)
     return check
   }
--- a/request/quarantine/src/quarantine.ts
+++ b/request/quarantine/src/quarantine.ts
@@ -58,7 +58,7 @@
   }
 
   /** Records that the upstream's process exited while it ran the request. */
-  noteUpstreamEnded (identity: RequestIdentity, upstream: string, { ranMs, ageMs }: Pick<RunEvent, 'ranMs' | 'ageMs'>): void {
+  recordUpstreamExit (identity: RequestIdentity, upstream: string, { ranMs, ageMs }: Pick<RunEvent, 'ranMs' | 'ageMs'>): void {
     this.#recordEvent({ ...identity, end: RunEnd.UpstreamEnded, upstream, ranMs, ageMs })
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Called when events of this or another box were added to the history. */
-  noteAdded (events: readonly RunEvent[]): void {
+  onEventsAdded (events: readonly RunEvent[]): void {
     const countBefore = this.#logged.size
     events.forEach((event) => this.#logChange(event, this.#quarantiningRuns(event)))
     if (this.#logged.size > countBefore) this.#listeners.forEach((listener) => listener())
@@ -82,7 +82,7 @@
     const { history, incarnation, onEvent } = this.#opts
     const identified = { ...event, id: `${incarnation()}.${this.#sequence++}` }
     if (!history.add(identified)) return
-    this.noteAdded([identified])
+    this.onEventsAdded([identified])
     onEvent(identified)
   }
 
--- a/request/quarantine/src/runHistory.ts
+++ b/request/quarantine/src/runHistory.ts
@@ -1,7 +1,7 @@
 import { type Clock } from '@reelspan/core.env'
 import { hash32 } from '@reelspan/core.hashing'
 import { RunEnd, type RunEvent } from '@reelspan/core.messages'
-import { NewsBook } from '@reelspan/membership.prober'
+import { UpdateStore } from '@reelspan/membership.prober'
 
 /** A past run of a request. Times are on this box's clock. */
 export interface PastRun {
@@ -29,7 +29,7 @@
  * requests. Boxes that received the same events in any order have the same state. Only
  * hashes of requests are stored.
  */
-export class RunHistory extends NewsBook<RunEvent> {
+export class RunHistory extends UpdateStore<RunEvent> {
   readonly #clock: Clock
   /** Runs by content, in the order in which the contents were last updated. */
   readonly #byContent = new Map<string, PastRun[]>()
--- a/request/quarantine/src/runMessages.ts
+++ b/request/quarantine/src/runMessages.ts
@@ -1,9 +1,9 @@
 import { MessageType, type PeerMessage, type RunEvent } from '@reelspan/core.messages'
-import { NewsMessages } from '@reelspan/membership.prober'
+import { UpdateMessages } from '@reelspan/membership.prober'
 
 /** Messages by which boxes exchange run events. */
-export class RunMessages extends NewsMessages<RunEvent> {
-  tell (events: readonly RunEvent[]): PeerMessage {
+export class RunMessages extends UpdateMessages<RunEvent> {
+  announce (events: readonly RunEvent[]): PeerMessage {
     return { type: MessageType.RunsTell, events: [...events] }
   }
 
@@ -11,7 +11,7 @@
     return { type: MessageType.RunsPull }
   }
 
-  contentOf (answer: PeerMessage): readonly RunEvent[] | undefined {
+  updatesOf (answer: PeerMessage): readonly RunEvent[] | undefined {
     return answer.type === MessageType.RunsContent ? answer.events : undefined
   }
 }
--- a/request/quarantine/test/interruptedRuns.ts
+++ b/request/quarantine/test/interruptedRuns.ts
@@ -1,8 +1,8 @@
 import { FleetList, type ListedUpstream, UpstreamKind } from '@reelspan/config.fleet'
-import { type InterruptedRun, BrokenRuns, type UpstreamExitRun } from '@reelspan/request.quarantine'
+import { type InterruptedRun, InterruptedRuns, type UpstreamExitRun } from '@reelspan/request.quarantine'
 import { Log, LogEvent, type LogFields } from '@reelspan/telemetry.log'
 import { Metrics } from '@reelspan/telemetry.metrics'
-import { UpstreamPresence, UpstreamProbe } from '@reelspan/upstream.client'
+import { UpstreamProbeResult, UpstreamProbe } from '@reelspan/upstream.client'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
@@ -18,7 +18,7 @@
   }
 }
 
-const PRESENCE: Partial<Record<string, UpstreamPresence>> = { '10.0.1.1:1': UpstreamPresence.Refuses, '10.0.1.3:1': UpstreamPresence.Silent }
+const PRESENCE: Partial<Record<string, UpstreamProbeResult>> = { '10.0.1.1:1': UpstreamProbeResult.Refused, '10.0.1.3:1': UpstreamProbeResult.Unresponsive }
 
 /** Takes some milliseconds and counts its calls. */
 class CountingProbe extends UpstreamProbe {
@@ -30,10 +30,10 @@
     this.#clock = clock
   }
 
-  async look (address: string): Promise<UpstreamPresence> {
+  async probe (address: string): Promise<UpstreamProbeResult> {
     this.checks++
     await this.#clock.sleep(5)
-    return PRESENCE[address] ?? UpstreamPresence.Listens
+    return PRESENCE[address] ?? UpstreamProbeResult.Listening
   }
 }
 
@@ -44,7 +44,7 @@
   const metrics = new Metrics()
   const listed: ListedUpstream[] = ['d1', 'd2', 'd3'].map((name, i) => ({ name, kind: UpstreamKind.Engine, address: `10.0.1.${i + 1}:1`, availabilityZone: 'a', pool: 'd', leaving: false }))
   const ended: UpstreamExitRun[] = []
-  const interruptedRuns = new BrokenRuns({ clock, probe, log, metrics, fleet: () => new FleetList([], [...listed]), onUpstreamEnded: (run) => ended.push(run) })
+  const interruptedRuns = new InterruptedRuns({ clock, probe, log, metrics, fleet: () => new FleetList([], [...listed]), onUpstreamExited: (run) => ended.push(run) })
   const run = (over: Partial<InterruptedRun> = {}): InterruptedRun => ({ request: 'r1', route: 'draft', identity: { content: 'c', caller: 'w' }, upstream: 'd1', address: '10.0.1.1:1', sentAtMs: clock.nowMs() - 90, reason: 'ended the connection', ...over })
   return { clock, log, probe, metrics, interruptedRuns, run, listed, ended }
 }
@@ -55,8 +55,8 @@
   void interruptedRuns.record(run({ request: 'r2', upstream: 'd2', address: '10.0.1.2:1' }))
   await clock.advance(10)
   t.like(log.lines, [
-    { event: LogEvent.RunBrokeOff, request: 'r1', upstream: 'd1', presence: UpstreamPresence.Refuses, ranMs: 90, contentHash: 'c', callerHash: 'w' },
-    { event: LogEvent.RunBrokeOff, request: 'r2', upstream: 'd2', presence: UpstreamPresence.Listens },
+    { event: LogEvent.RunBrokeOff, request: 'r1', upstream: 'd1', presence: UpstreamProbeResult.Refused, ranMs: 90, contentHash: 'c', callerHash: 'w' },
+    { event: LogEvent.RunBrokeOff, request: 'r2', upstream: 'd2', presence: UpstreamProbeResult.Listening },
   ])
   t.regex(metrics.exposition(), /reelspan_runs_broken_off_total\{presence="refuses"\} 1/)
 })
@@ -78,16 +78,16 @@
   const { clock, interruptedRuns, run, listed, ended } = startInterruptedRuns()
   const recordUnresponsive = () => interruptedRuns.record(run({ upstream: 'd3', address: '10.0.1.3:1' }))
   await clock.run(recordUnresponsive())
-  interruptedRuns.noteFleet()
+  interruptedRuns.onFleetChanged()
   t.deepEqual(ended, [])
   const [removed] = listed.splice(2, 1)
-  interruptedRuns.noteFleet()
-  interruptedRuns.noteFleet()
+  interruptedRuns.onFleetChanged()
+  interruptedRuns.onFleetChanged()
   t.deepEqual(ended.map(({ upstream }) => upstream), ['d3'])
   listed.push({ ...removed, leaving: true })
   await clock.run(recordUnresponsive())
-  interruptedRuns.noteFleet()
+  interruptedRuns.onFleetChanged()
   listed.pop()
-  interruptedRuns.noteFleet()
+  interruptedRuns.onFleetChanged()
   t.is(ended.length, 1)
 })
--- a/request/records/src/index.ts
+++ b/request/records/src/index.ts
@@ -1,3 +1,3 @@
 export { RequestRecord } from './requestRecord.js'
 export { RecordStore } from './recordStore.js'
-export type { RecordStoreOptions, ExportedRecord as PortableRecord, PredecessorIncarnation } from './recordStore.js'
+export type { RecordStoreOptions, ExportedRecord, PredecessorIncarnation } from './recordStore.js'
--- a/request/records/src/recordStore.ts
+++ b/request/records/src/recordStore.ts
@@ -8,7 +8,7 @@
   /** Bound on the memory of all records, including what is reserved for running requests. */
   maxBytes: number
   /** How long a finished record is kept: longer than the lifetime of a key prefix plus the longest request. */
-  recordLifeMs: number
+  recordTtlMs: number
 }
 
 /** A finished record in the form in which it is sent to a successor. */
@@ -125,14 +125,14 @@
   }
 
   /** Marks the records of these incarnations as fully imported: an unexpired key of theirs without a record has never run. */
-  markTaken (incarnations: readonly PredecessorIncarnation[]): void {
+  addPredecessors (incarnations: readonly PredecessorIncarnation[]): void {
     const nowMs = this.#opts.clock.nowMs()
     incarnations.forEach(({ incarnation, clockMs }) => this.#predecessors.set(incarnation, { clockMs, addedAtMs: nowMs }))
   }
 
   /** Incarnations whose records were all imported, with their estimated present clock readings. */
-  taken (): PredecessorIncarnation[] {
-    return [...this.#predecessors.keys()].map((incarnation) => ({ incarnation, clockMs: this.clockOf(incarnation) as number }))
+  predecessors (): PredecessorIncarnation[] {
+    return [...this.#predecessors.keys()].map((incarnation) => ({ incarnation, clockMs: this.estimateClockMs(incarnation) as number }))
   }
 
   /**
@@ -140,14 +140,14 @@
    * No two clocks are compared: the estimate is the predecessor's last reading plus the time that has
    * passed here since.
    */
-  clockOf (incarnation: string): number | undefined {
+  estimateClockMs (incarnation: string): number | undefined {
     const predecessor = this.#predecessors.get(incarnation)
     return predecessor && predecessor.clockMs + this.#opts.clock.nowMs() - predecessor.addedAtMs
   }
 
   /** Removes finished records that are older than any possible retry. */
   removeExpired (): void {
-    const oldestMs = this.#opts.clock.nowMs() - this.#opts.recordLifeMs
+    const oldestMs = this.#opts.clock.nowMs() - this.#opts.recordTtlMs
     // Records finish roughly in insertion order, so the scan can stop at the first unexpired one.
     for (const [key, { record }] of this.#records) {
       if (record.finishedAtMs === undefined) continue
--- a/request/records/test/recordStore.ts
+++ b/request/records/test/recordStore.ts
@@ -7,7 +7,7 @@
 const FINAL = { kind: AnswerEventKind.Final, verdict: Verdict.Finished, eventCount: 0 } as const
 
 function createStore (clock: VirtualClock, maxBytes = 10_000): RecordStore {
-  return new RecordStore({ clock, maxBytes, recordLifeMs: 1000 })
+  return new RecordStore({ clock, maxBytes, recordTtlMs: 1000 })
 }
 
 test('when memory is full, new requests are refused and no record is evicted', (t) => {
@@ -78,8 +78,8 @@
 test('the clock of a predecessor is estimated from its last reading and the time that has passed', async (t) => {
   const clock = new VirtualClock()
   const store = createStore(clock)
-  store.markTaken([{ incarnation: 'x', clockMs: 77 }])
+  store.addPredecessors([{ incarnation: 'x', clockMs: 77 }])
   await clock.advance(10)
-  t.is(store.clockOf('x'), 87)
-  t.is(store.clockOf('y'), undefined)
+  t.is(store.estimateClockMs('x'), 87)
+  t.is(store.estimateClockMs('y'), undefined)
 })
--- a/request/relay/src/completionPlacer.ts
+++ b/request/relay/src/completionPlacer.ts
@@ -115,7 +115,7 @@
     const deliveredTokens = this.deliveredTokens()
     // The prompt is not computed again if the answer could not be complete in time. A first attempt is never refused because of an estimate.
     const availableMs = attempt > 1 ? run.remainingMs - this.#minRemainingDecodeMs(deliveredTokens) : run.remainingMs
-    const { peerAddress, incarnation, availabilityZone } = opts.standing()
+    const { peerAddress, incarnation, availabilityZone } = opts.self()
     const label: HoldLabel = { ownerAddress: peerAddress, ownerIncarnation: incarnation, requestId: `${request.id}.${++this.#placements}`, maxHoldMs: run.remainingMs }
     return {
       model: this.#model,
--- a/request/relay/src/completionRelay.ts
+++ b/request/relay/src/completionRelay.ts
@@ -95,7 +95,7 @@
       if (!isOwnPrefill(plan)) {
         source = await this.#prefill(plan, permits.prefill)
         this.#prefillMs = opts.clock.nowMs() - placedAtMs
-        placement.prefilled()
+        placement.recordPrefillEnd()
         await run.checkBeforeSend()
         this.#checkMaySend(plan.decodeEngine)
       }
@@ -242,8 +242,8 @@
       void drainAnswer(answer)
       throw new UpstreamError(`${plan.decodeEngine} responded with ${answer.status}`, { mayHaveRun: true, failed: true })
     }
-    placement.progressed(1)
-    const onFirst = isOwnPrefill(plan) ? () => placement.prefilled() : undefined
+    placement.recordProgress(1)
+    const onFirst = isOwnPrefill(plan) ? () => placement.recordPrefillEnd() : undefined
     await passEvents(this.#context, answer, times, { progress: this.#progress, completeEventsOnly: route.spec.resumable, idleTimer, onFirst })
     this.#recordOutcome(plan.decodeEngine, failed ? UpstreamOutcome.Failed : UpstreamOutcome.Answered)
   }
@@ -266,7 +266,7 @@
 
   #recordOutcome (engine: string, outcome: UpstreamOutcome): void {
     this.#outcomes.push({ engine, outcome })
-    this.#context.health.note(engine, outcome, [])
+    this.#context.health.record(engine, outcome, [])
   }
 
   #report (plan: PlacementPlan, placedAtMs: number, { firstMs = 0, pausesMs }: AnswerTimes): PlacementReport {
--- a/request/relay/src/idleTimer.ts
+++ b/request/relay/src/idleTimer.ts
@@ -55,7 +55,7 @@
     for (let remainingMs = timeoutMs; remainingMs > 0; remainingMs = this.#remainingMs(timeoutMs)) {
       await this.#clock.sleep(remainingMs, { signal: this.#stopped.signal })
       // After a pause of this process, data that arrived in time may still be unread.
-      await this.#clock.settle()
+      await this.#clock.awaitPendingInput()
       if (this.#stopped.signal.aborted) return
     }
     this.#expire()
--- a/request/relay/src/permittedPlacement.ts
+++ b/request/relay/src/permittedPlacement.ts
@@ -48,7 +48,7 @@
  */
 export function noPlacementError ({ opts }: RelayContext, model: string, { reason, retryAfterMs }: PlacementRefusal, blocked: BlockedUpstreams): ReelspanError {
   if (blocked.size === 0) return new ReelspanError(ErrorCode.Overloaded, reason, { retryAfterMs })
-  const retryMs = Math.ceil(opts.returnTimes.bookAfter(model, blocked.shortestWaitMs))
+  const retryMs = Math.ceil(opts.retryTimes.scheduleAfterWait(model, blocked.shortestWaitMs))
   const cause = blocked.allBackingOff ? 'asked this box to back off' : 'accept no more requests at present'
   return new ReelspanError(blocked.errorCode, `${blocked.describe()} ${cause}; ${reason}`, { retryAfterMs: Math.max(retryAfterMs, retryMs) })
 }
--- a/request/relay/src/pickPermittedUpstream.ts
+++ b/request/relay/src/pickPermittedUpstream.ts
@@ -54,7 +54,7 @@
 
 /** Acquires a permit. If that took a call to another box, checks again that the run may go on. */
 export async function acquirePermit ({ opts, run }: RelayContext, upstream: string): Promise<SendPermit> {
-  const permit = await opts.permits.take(upstream)
+  const permit = await opts.permits.acquire(upstream)
   if (!permit.limited) return permit
   try {
     await run.checkBeforeSend()
@@ -71,7 +71,7 @@
   if (blocked.size === 0) return new ReelspanError(ErrorCode.NoUpstream, `pool ${pool} has no upstream that takes work`, { retryAfterMs: NO_UPSTREAM_RETRY_AFTER_MS })
   const limited = blocked.names(WaitReason.RateLimit)
   const perSecond = limited.reduce((sum, upstream) => sum + (opts.upstreamStates.perSecond(upstream) ?? 0), 0)
-  const retryMs = blocked.allBackingOff ? opts.returnTimes.bookAfter(pool, blocked.shortestWaitMs) : opts.returnTimes.book(pool, perSecond, blocked.shortestWaitMs)
+  const retryMs = blocked.allBackingOff ? opts.retryTimes.scheduleAfterWait(pool, blocked.shortestWaitMs) : opts.retryTimes.scheduleAtRate(pool, perSecond, blocked.shortestWaitMs)
   const retryAfterMs = Math.ceil(retryMs)
   blocked.log(context, { retryAfterMs })
   const reason = blocked.allBackingOff
--- a/request/relay/src/relay.ts
+++ b/request/relay/src/relay.ts
@@ -69,7 +69,7 @@
       onSuspected: (upstream, forMs, failureShare) => log.warn(LogEvent.UpstreamSuspected, { upstream, forMs, failureShare: Number(failureShare.toFixed(2)) }),
       onTrusted: (upstream) => log.info(LogEvent.UpstreamTrusted, { upstream }),
     })
-    this.#picker = new UpstreamPicker({ clock, random, health: this.#health, isFailing: (upstream) => opts.upstreamReports.isFailing(upstream), availabilityZone: () => opts.standing().availabilityZone })
+    this.#picker = new UpstreamPicker({ clock, random, health: this.#health, isFailing: (upstream) => opts.upstreamReports.isFailing(upstream), availabilityZone: () => opts.self().availabilityZone })
   }
 
   get inFlight (): number {
@@ -77,17 +77,17 @@
   }
 
   /** Announces that this box stops after `durationMs`. Accepts only new requests that are expected to end before. */
-  endWithin (durationMs: number): void {
+  scheduleStop (durationMs: number): void {
     this.#stopsAtMs = this.#opts.clock.nowMs() + durationMs
   }
 
   /** Refuses new requests from now on without running them. Running requests continue. */
-  closeForNew (): void {
+  stopAccepting (): void {
     this.#acceptingStopped = true
   }
 
   /** Resolves once no request runs, or the signal is aborted. */
-  async waitIdle (signal: AbortSignal): Promise<void> {
+  async waitUntilIdle (signal: AbortSignal): Promise<void> {
     while (this.#running.size > 0 && !signal.aborted) await this.#ended.wait(signal)
   }
 
@@ -135,11 +135,11 @@
 
   /** Waits for the first configuration of a box that has just started. */
   async #waitForConfiguration (callerSignal: AbortSignal, deadlineMs = Number.POSITIVE_INFINITY): Promise<void> {
-    const { clock, configured } = this.#opts
+    const { clock, whenConfigured } = this.#opts
     const timeoutMs = Math.min(this.#startedAtMs + STARTUP_CONFIG_TIMEOUT_MS - clock.nowMs(), deadlineMs)
     if (timeoutMs <= 0) return
     const waitEnded = new AbortController()
-    await raceTimeout(clock, configured(AbortSignal.any([callerSignal, this.#tasks.signal, waitEnded.signal])), timeoutMs)
+    await raceTimeout(clock, whenConfigured(AbortSignal.any([callerSignal, this.#tasks.signal, waitEnded.signal])), timeoutMs)
     waitEnded.abort(STOPPED)
   }
 
@@ -177,7 +177,7 @@
       if (times.status !== undefined && times.status < FIRST_SERVER_ERROR) opts.quarantine.recordFinished(identity)
     } finally {
       if (run.mayHaveRun) this.#runDurations.record(kind, run.elapsedMs)
-      else admitted.giveBack()
+      else admitted.releaseCost()
     }
   }
 
@@ -251,7 +251,7 @@
     const { final } = run.record
     const { log, metrics, configuration, fleetRevision } = this.#opts
     if (final && final.verdict !== Verdict.Finished) {
-      if (caller.begun) caller.cut()
+      if (caller.begun) caller.abort()
       else caller.refuse(final)
     }
     const verdict = final?.verdict ?? 'none'
--- a/request/relay/src/relayCaller.ts
+++ b/request/relay/src/relayCaller.ts
@@ -18,7 +18,7 @@
   abstract finish (): void
 
   /** Ends an answer that has begun and is incomplete. The caller must be able to detect this. */
-  abstract cut (): void
+  abstract abort (): void
 
   /** Sends reelspan's own final answer. Only called when no part of an upstream's answer was passed on. */
   abstract refuse (final: FinalAnswer): void
--- a/request/relay/src/relayOptions.ts
+++ b/request/relay/src/relayOptions.ts
@@ -2,12 +2,12 @@
 import { type FleetList } from '@reelspan/config.fleet'
 import { type Configuration } from '@reelspan/config.resources'
 import { type Clock, type Random, type TaskErrorListener } from '@reelspan/core.env'
-import { type BrokenRuns, type Quarantine } from '@reelspan/request.quarantine'
+import { type InterruptedRuns, type Quarantine } from '@reelspan/request.quarantine'
 import { type Placer } from '@reelspan/scheduling.placer'
 import { type Log } from '@reelspan/telemetry.log'
 import { type Metrics } from '@reelspan/telemetry.metrics'
-import { type UpstreamReports } from '@reelspan/upstream.health'
-import { type ReturnTimes, type SendPermits } from '@reelspan/upstream.limits'
+import { type UpstreamFailureReports } from '@reelspan/upstream.health'
+import { type RetryTimes, type SendPermits } from '@reelspan/upstream.limits'
 import { type Backoffs, type SignalObserver, type UpstreamStates } from '@reelspan/upstream.signals'
 import { type RelayClient } from '@reelspan/upstream.client'
 
@@ -20,14 +20,14 @@
   admission: BoxAdmission
   configuration: () => Configuration
   /** Resolves once this box has a configuration or the signal is aborted. */
-  configured: (signal: AbortSignal) => Promise<void>
+  whenConfigured: (signal: AbortSignal) => Promise<void>
   fleet: () => FleetList
   /** Revision of the upstream list, ordered across all eras of the platform's store. */
   fleetRevision: () => number
   /** Present peer address, incarnation and zone of this box. */
-  standing: () => { peerAddress: string, incarnation: string, availabilityZone: string }
+  self: () => { peerAddress: string, incarnation: string, availabilityZone: string }
   /** Reports of all boxes about upstreams that close connections without an answer. */
-  upstreamReports: Pick<UpstreamReports, 'isFailing'>
+  upstreamReports: Pick<UpstreamFailureReports, 'isFailing'>
   /** Processes the rate limits and backoffs that responses advertise. */
   signals: SignalObserver
   /** Latest state that upstreams advertised to any box. */
@@ -37,11 +37,11 @@
   /** Grants the permits that are required to send requests to upstreams. */
   permits: SendPermits
   /** Assigns retry times to callers whose requests are refused because of upstream limits. */
-  returnTimes: ReturnTimes
+  retryTimes: RetryTimes
   /** Called when an upstream closes a connection without an answer. */
   onClosedUnanswered: (upstream: string) => void
   /** Records answers of upstreams that were interrupted. */
-  brokenRuns: BrokenRuns
+  interruptedRuns: InterruptedRuns
   /** Blocks requests that have repeatedly made upstreams exit. */
   quarantine: Quarantine
   /** Number of boxes that share the retry budget, including this one. */
--- a/request/relay/src/sendToUpstream.ts
+++ b/request/relay/src/sendToUpstream.ts
@@ -44,7 +44,7 @@
     ...callOptions,
     onSend: () => {
       sentAtMs = clock.nowMs()
-      permit.noteSent()
+      permit.recordSent()
       callOptions.onSend?.()
     },
     onSignals: (advertised) => signals.observe(target.instance, advertised, sentAtMs),
--- a/request/relay/src/serviceRelay.ts
+++ b/request/relay/src/serviceRelay.ts
@@ -78,7 +78,7 @@
       if (!run.signal.aborted && thrown instanceof UpstreamError) {
         if (thrown.refused) this.#recordRefusal(upstream)
         else this.#recordOutcome(upstream, outcomeOf(thrown))
-        if (thrown.brokeOff && thrown.unreachable) this.#context.opts.onClosedUnanswered(upstream.name)
+        if (thrown.interrupted && thrown.unreachable) this.#context.opts.onClosedUnanswered(upstream.name)
       }
       throw thrown
     } finally {
@@ -194,7 +194,7 @@
   }
 
   #recordOutcome (upstream: ListedUpstream, outcome: UpstreamOutcome): void {
-    this.#context.health.note(upstream.name, outcome, this.#candidates().map(({ name }) => name))
+    this.#context.health.record(upstream.name, outcome, this.#candidates().map(({ name }) => name))
   }
 }
 
--- a/request/relay/src/withInterruptionReport.ts
+++ b/request/relay/src/withInterruptionReport.ts
@@ -11,8 +11,8 @@
     return await work(() => { sentAtMs = opts.clock.nowMs() })
   } catch (thrown) {
     // A run that was ended locally, for example because its caller disconnected, says nothing about the upstream.
-    if (sentAtMs !== undefined && thrown instanceof UpstreamError && thrown.brokeOff && !run.signal.aborted) {
-      void opts.brokenRuns.record({
+    if (sentAtMs !== undefined && thrown instanceof UpstreamError && thrown.interrupted && !run.signal.aborted) {
+      void opts.interruptedRuns.record({
         request: request.id,
         route: route.name,
         identity: identity(),
--- a/request/relay/test/__utils__/createRelay.ts
+++ b/request/relay/test/__utils__/createRelay.ts
@@ -2,16 +2,16 @@
 import { checkResources, Configuration, ResourceKind } from '@reelspan/config.resources'
 import { type EngineOutcome, PlacementOutcome, type PlacementRefusal } from '@reelspan/core.messages'
 import { EvenShareLimiter } from '@reelspan/membership.limits'
-import { BrokenRuns, type InterruptedRunsOptions, Quarantine, RunHistory } from '@reelspan/request.quarantine'
+import { InterruptedRuns, type InterruptedRunsOptions, Quarantine, RunHistory } from '@reelspan/request.quarantine'
 import { Relay, type RelayOptions } from '@reelspan/request.relay'
 import { type Placement, Placer, type PlaceRequest } from '@reelspan/scheduling.placer'
 import { Log, type LogEvent, type LogFields } from '@reelspan/telemetry.log'
 import { Metrics } from '@reelspan/telemetry.metrics'
-import { type PrefilledPrompt, type PrefillSource, type RelayAnswer, type RelayCallOptions, RelayClient, type RelayedRequest, type RelayRunOptions, type RelayTarget, UpstreamError, UpstreamPresence, UpstreamProbe } from '@reelspan/upstream.client'
-import { UpstreamReports } from '@reelspan/upstream.health'
-import { permitBucket, ReturnTimes, SendPermits } from '@reelspan/upstream.limits'
+import { type PrefilledPrompt, type PrefillSource, type RelayAnswer, type RelayCallOptions, RelayClient, type RelayedRequest, type RelayRunOptions, type RelayTarget, UpstreamError, UpstreamProbeResult, UpstreamProbe } from '@reelspan/upstream.client'
+import { UpstreamFailureReports } from '@reelspan/upstream.health'
+import { planPermitBucket, RetryTimes, SendPermits } from '@reelspan/upstream.limits'
 import { Backoffs, SignalObserver, UpstreamStates } from '@reelspan/upstream.signals'
-import { KeepingCaller } from '@reelspan/utils.fake-fleet'
+import { FakeRelayCaller } from '@reelspan/utils.fake-fleet'
 import { NO_ACCOUNTS, SeededRandom, VirtualClock } from '@reelspan/utils.fakes'
 
 /** Scripted behavior of an upstream for one request. */
@@ -90,7 +90,7 @@
 }
 
 /** A caller that records what it receives and can stop reading. */
-export class RecordingCaller extends KeepingCaller {
+export class RecordingCaller extends FakeRelayCaller {
   /** Blocks writes until the caller disconnects or resumes reading. */
   stopsReading = false
   #onReadingResumed = () => {}
@@ -136,12 +136,12 @@
     return {
       plan,
       placedBy: 'test',
-      prefilled: () => { this.prefilled++ },
+      recordPrefillEnd: () => { this.prefilled++ },
       release: (_report, outcomes) => {
         this.released++
         this.outcomes.push(...outcomes ?? [])
       },
-      progressed: () => {}
+      recordProgress: () => {}
     }
   }
 }
@@ -150,8 +150,8 @@
 class ScriptedProbe extends UpstreamProbe {
   readonly ended = new Set<string>()
 
-  async look (address: string): Promise<UpstreamPresence> {
-    return this.ended.has(address) ? UpstreamPresence.Refuses : UpstreamPresence.Listens
+  async probe (address: string): Promise<UpstreamProbeResult> {
+    return this.ended.has(address) ? UpstreamProbeResult.Refused : UpstreamProbeResult.Listening
   }
 }
 
@@ -202,12 +202,12 @@
   const log = new RecordingLog()
   const probe = new ScriptedProbe()
   const metrics = new Metrics()
-  const reports = new UpstreamReports({ clock })
+  const reports = new UpstreamFailureReports({ clock })
   const closedUnanswered: string[] = []
   const history = new RunHistory({ clock })
   const quarantine = new Quarantine({ clock, log, history, incarnation: () => 'a'.repeat(16), onEvent: () => {} })
-  const onUpstreamExited: InterruptedRunsOptions['onUpstreamEnded'] = ({ identity, upstream, sentAtMs, brokeAtMs }) =>
-    quarantine.noteUpstreamEnded(identity, upstream, { ranMs: brokeAtMs - sentAtMs, ageMs: 0 })
+  const onUpstreamExited: InterruptedRunsOptions['onUpstreamExited'] = ({ identity, upstream, sentAtMs, interruptedAtMs }) =>
+    quarantine.recordUpstreamExit(identity, upstream, { ranMs: interruptedAtMs - sentAtMs, ageMs: 0 })
   const { configuration, problems } = checkResources(declared(computesPrompts).map((one) => ({ ...one, revision: 1 })), 1)
   if (problems.length > 0) throw new Error(JSON.stringify(problems))
   const desk = services.map((name, i): ListedUpstream => ({ name, kind: UpstreamKind.Service, address: `10.0.2.${i}:1`, availabilityZone: 'a', pool: 'desk', leaving: false }))
@@ -218,9 +218,9 @@
   const signals = new SignalObserver({ clock, log, states: upstreamStates, backoffs })
   const limiter = new EvenShareLimiter({
     clock,
-    planOf: (upstream) => {
+    configOf: (upstream) => {
       const perSecond = upstreamStates.perSecond(upstream)
-      return perSecond === undefined ? undefined : permitBucket(perSecond, 1, 1)
+      return perSecond === undefined ? undefined : planPermitBucket(perSecond, 1, 1)
     },
   })
   const relay = new Relay({
@@ -233,17 +233,17 @@
     signals,
     backoffs,
     upstreamStates,
-    permits: new SendPermits({ clock, limits: upstreamStates, backoffs, limiter, metrics }),
-    returnTimes: new ReturnTimes({ clock, boxCount: () => 1 }),
+    permits: new SendPermits({ clock, states: upstreamStates, backoffs, limiter, metrics }),
+    retryTimes: new RetryTimes({ clock, boxCount: () => 1 }),
     onClosedUnanswered: (upstream) => { reports.add({ id: `own-${closedUnanswered.push(upstream)}`, upstream, box: 'test', ageMs: 0 }) },
     configuration: () => clock.nowMs() - startedAtMs >= configuredAfterMs ? configuration : new Configuration(0, []),
-    configured: (signal) => clock.sleep(startedAtMs + configuredAfterMs - clock.nowMs(), { signal }),
+    whenConfigured: (signal) => clock.sleep(startedAtMs + configuredAfterMs - clock.nowMs(), { signal }),
     fleet,
     fleetRevision: () => 1,
-    standing: () => ({ peerAddress: '10.0.0.9:1', incarnation: 'a'.repeat(16), availabilityZone: 'a' }),
+    self: () => ({ peerAddress: '10.0.0.9:1', incarnation: 'a'.repeat(16), availabilityZone: 'a' }),
     boxCount: () => 1,
     onTaskError,
-    brokenRuns: new BrokenRuns({ clock, probe, log, metrics, fleet, onUpstreamEnded: onUpstreamExited }),
+    interruptedRuns: new InterruptedRuns({ clock, probe, log, metrics, fleet, onUpstreamExited }),
     quarantine,
     retriesPerRequest: 0,
     retryBurst,
--- a/request/relay/test/accounts.ts
+++ b/request/relay/test/accounts.ts
@@ -7,7 +7,7 @@
 /** Admits every request for one account, or refuses it. */
 class RecordingAdmission implements BoxAdmission {
   readonly usesAccounts = true
-  readonly isProved = true
+  readonly hasFreshProof = true
   readonly requests: AdmissionRequest[] = []
   refundCount = 0
   refusal?: ReelspanError
@@ -15,7 +15,7 @@
   async admit (request: AdmissionRequest): Promise<Admitted> {
     this.requests.push(request)
     if (this.refusal) throw this.refusal
-    return { account: 'bank', urgency: 0, giveBack: () => { this.refundCount++ } }
+    return { account: 'bank', urgency: 0, releaseCost: () => { this.refundCount++ } }
   }
 }
 
--- a/request/relay/test/quarantine.ts
+++ b/request/relay/test/quarantine.ts
@@ -8,7 +8,7 @@
 
 /** Records that upstreams exited one after another while running a request. */
 function recordUpstreamExits ({ quarantine }: TestRelay, path: string, times = 3): void {
-  Array.from({ length: times }, (_, i) => quarantine.noteUpstreamEnded(identityOfRelayed(requestTo(path)), `e${i}`, { ageMs: 100 * (times - i), ranMs: 50 }))
+  Array.from({ length: times }, (_, i) => quarantine.recordUpstreamExit(identityOfRelayed(requestTo(path)), `e${i}`, { ageMs: 100 * (times - i), ranMs: 50 }))
 }
 
 test('a request during which three upstreams exited is refused at once and not sent, others are served', async (t) => {
@@ -20,7 +20,7 @@
     t.like(refused.refused, { verdict: Verdict.NotRun, code: ErrorCode.RequestQuarantined })
     t.is(relay.upstreams.prefills.length + relay.upstreams.runs.length + relay.placer.requests.length, 0)
     await relay.clock.run(relay.relay.relay(requestTo(path.replace('1', '2')), served))
-    t.true(served.whole)
+    t.true(served.complete)
   }
 })
 
@@ -55,7 +55,7 @@
   const caller = new RecordingCaller()
   await relay.clock.run(relay.relay.relay(requestTo('/reply/1'), caller))
   t.is(relay.upstreams.runs.length, 1)
-  t.true(caller.wasCut)
+  t.true(caller.wasAborted)
 })
 
 test('an engine that exits during a prefill counts as an upstream exit of the request', async (t) => {
@@ -74,5 +74,5 @@
   recordUpstreamExits(relay, '/status/1', 2)
   const caller = new RecordingCaller()
   await relay.clock.run(relay.relay.relay(requestTo('/status/1'), caller))
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
--- a/request/relay/test/relay.ts
+++ b/request/relay/test/relay.ts
@@ -15,7 +15,7 @@
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
   t.is(caller.status, 200)
   t.is(caller.body, 'script')
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('an unexpected error in the deadline task is reported', async (t) => {
@@ -23,7 +23,7 @@
   const fault = new TypeError('x is not a function')
   const { clock, relay } = createRelay([answersAfter(800, 200, 'script')], { onTaskError: (error) => { errors.push(error) } })
   const ended = relay.relay(requestTo('/fetch/1'), new RecordingCaller(), 500)
-  clock.settle = async () => { throw fault }
+  clock.awaitPendingInput = async () => { throw fault }
   await clock.run(ended)
   t.deepEqual(errors, [fault])
 })
@@ -41,7 +41,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
   t.is(new Set(upstreams.runs.map(({ instance }) => instance)).size, 2)
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a request that no upstream ran is refused as not run, with a retry delay', async (t) => {
@@ -67,7 +67,7 @@
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
   t.is(upstreams.runs.length, 1)
   t.is(caller.status, 500)
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('nothing is retried without retry budget', async (t) => {
@@ -93,7 +93,7 @@
   await clock.run(relay.relay(requestTo('/status/1'), caller))
   t.is(upstreams.runs.length, 1)
   t.is(caller.body, 'status')
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a late answer is passed on if the retry budget is exhausted', async (t) => {
@@ -119,7 +119,7 @@
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.is(upstreams.runs.length, 1)
   t.is(caller.body, 'id: 0\ndata: a\n\n')
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a late resumable answer is waited for if the retry budget is exhausted', async (t) => {
@@ -140,7 +140,7 @@
   await clock.run(work)
   t.is(upstreams.runs.length, 3)
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\ndata: b\n\n')
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a non-repeatable request waits for an unresponsive upstream until its deadline, and is answered then', async (t) => {
@@ -231,8 +231,8 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
   t.is(caller.body, 'half')
-  t.true(caller.wasCut)
-  t.false(caller.whole)
+  t.true(caller.wasAborted)
+  t.false(caller.complete)
 })
 
 test('a path without a declared route is refused with «no route»', async (t) => {
@@ -261,7 +261,7 @@
   t.deepEqual(upstreams.prefills, ['p1'])
   t.is(upstreams.runs[0].instance, 'd1')
   t.deepEqual(upstreams.runs[0].opts.source, { address: '10.0.0.1:1', handle: 'handle-1' })
-  t.true(caller.whole)
+  t.true(caller.complete)
   t.deepEqual(upstreams.freed, [])
   t.is(placer.released, 1)
 })
@@ -273,7 +273,7 @@
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.deepEqual(upstreams.prefills, [])
   t.deepEqual(upstreams.runs.map(({ instance, opts }) => [instance, opts.source]), [['d1', undefined]])
-  t.true(caller.whole)
+  t.true(caller.complete)
   t.true(placer.requests[0].allowsOwnPrefill)
   t.is(placer.prefilled, 1, 'the scheduler is notified that the prompt is computed')
 })
@@ -284,7 +284,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.is(upstreams.runs.length, 1)
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a completion without a placement is refused at once with the scheduler\'s retry delay', async (t) => {
@@ -328,7 +328,7 @@
 
 test('a draining box refuses new requests as not run', async (t) => {
   const { clock, relay, upstreams } = createRelay([])
-  relay.closeForNew()
+  relay.stopAccepting()
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/1'), caller))
   t.is(caller.refused?.code, ErrorCode.Draining)
@@ -344,7 +344,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\ndata: b\n\nid: 2\ndata: c\n\n')
-  t.true(caller.whole)
+  t.true(caller.complete)
   t.is(upstreams.runs[1].opts.resumeAfter, '1')
   t.not(upstreams.runs[1].instance, upstreams.runs[0].instance)
 })
@@ -356,7 +356,7 @@
   t.deepEqual(upstreams.runs.map(({ instance, opts }) => [instance, opts.source?.handle, opts.resumeAfter]), [['d1', 'handle-1', undefined], ['d1', undefined, '0']])
   t.is(upstreams.prefills.length, 1)
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\ndata: b\n\n')
-  t.true(caller.whole)
+  t.true(caller.complete)
   t.is(placer.released, 1)
 })
 
@@ -365,7 +365,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d1', 'd1', 'd2'])
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('an engine that cannot fetch the KV cache is asked to compute the prompt itself, also for a non-repeatable request', async (t) => {
@@ -373,7 +373,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance, opts }) => [instance, opts.source?.handle]), [['d1', 'handle-1'], ['d1', undefined]])
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a non-resumable answer is not requested again from the engine that interrupted it', async (t) => {
@@ -381,7 +381,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.is(upstreams.runs.length, 1)
-  t.true(caller.wasCut)
+  t.true(caller.wasAborted)
 })
 
 test('a non-repeatable request is not sent again to an engine that may have run it', async (t) => {
@@ -400,7 +400,7 @@
   t.is(upstreams.runs.length, 2)
   await clock.run(relay.relay(requestTo('/reply/2'), callers[1]))
   t.is(upstreams.runs.length, 3)
-  t.true(callers[1].wasCut)
+  t.true(callers[1].wasAborted)
 })
 
 test('a prompt is computed again only for an answer that can still be complete in time', async (t) => {
@@ -420,7 +420,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\nda')
-  t.true(caller.wasCut)
+  t.true(caller.wasAborted)
   t.is(upstreams.runs.length, 1)
 })
 
@@ -429,7 +429,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.is(caller.body, 'id: 0\ndata: a\n\n')
-  t.true(caller.wasCut)
+  t.true(caller.wasAborted)
 })
 
 test('a prefill without an answer is aborted, and the request is placed without its engine', async (t) => {
@@ -441,7 +441,7 @@
   await clock.advance(400)
   upstreams.prefillHangs = false
   await clock.run(work)
-  t.true(caller.whole)
+  t.true(caller.complete)
   t.true(clock.nowMs() - startedAtMs < 900)
   t.true(placer.requests[1].avoid.includes('p1'))
 })
@@ -451,7 +451,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/reply/1'), caller))
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\ndata: b\n\n')
-  t.true(caller.whole)
+  t.true(caller.complete)
   t.true(upstreams.runs[0].opts.signal.aborted)
 })
 
@@ -464,7 +464,7 @@
   caller.resumeReading()
   await clock.run(work)
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\ndata: b\n\n')
-  t.true(caller.whole)
+  t.true(caller.complete)
   t.is(upstreams.runs.length, 1)
   t.false(placer.outcomes.some(({ outcome }) => outcome !== UpstreamOutcome.Answered))
 })
@@ -479,7 +479,7 @@
   caller.resumeReading()
   await clock.run(work, 2000)
   t.is(caller.body, 'id: 0\ndata: a\n\nid: 1\ndata: b\n\n')
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a non-resumable stream that stalls is kept while its caller waits', async (t) => {
@@ -500,7 +500,7 @@
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.is(upstreams.prefills.length, 1)
   t.is(upstreams.runs[0].instance, 'd2')
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a decode engine that drains during the prefill does not get the request', async (t) => {
@@ -518,7 +518,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/draft/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d2'])
-  t.true(caller.whole)
+  t.true(caller.complete)
   t.is(upstreams.freed.length, 1, 'the handle of the first prefill is freed')
 })
 
--- a/request/relay/test/requestEnded.ts
+++ b/request/relay/test/requestEnded.ts
@@ -20,7 +20,7 @@
 
 test('the log line of a request that was never sent has no time of sending and no status', async (t) => {
   const relay = createRelay([])
-  relay.relay.closeForNew()
+  relay.relay.stopAccepting()
   await relay.clock.run(relay.relay.relay(requestTo('/reply/1'), new RecordingCaller()))
   const end = endedLogFields(relay)
   t.like(end, { kind: 'resumableStream', tbtTargetMs: 76 })
@@ -30,7 +30,7 @@
 
 test('the log lines of attempts with one prompt have the same hash and no part of the prompt', async (t) => {
   const relay = createRelay([])
-  relay.relay.closeForNew()
+  relay.relay.stopAccepting()
   const prompt = { model: 'm', promptTokens: 30, maxTokens: 10, prefixes: [{ digest: 'shared', tokens: 10 }, { digest: 'own-part', tokens: 30 }] }
   await relay.clock.run(relay.relay.relay(requestTo('/reply/1', { id: 'first', prompt }), new RecordingCaller()))
   await relay.clock.run(relay.relay.relay(requestTo('/reply/1', { id: 'second', prompt }), new RecordingCaller()))
--- a/request/relay/test/upstreamLimits.ts
+++ b/request/relay/test/upstreamLimits.ts
@@ -16,7 +16,7 @@
   const callers = [0, 1, 2, 3].map(() => new RecordingCaller())
   for (const caller of callers) await clock.run(relay.relay(requestTo('/fetch/1'), caller))
   t.deepEqual(upstreams.runs.map(({ instance }) => instance).sort(), ['s1', 's2', 's3'])
-  t.deepEqual(callers.map(({ whole }) => whole), [true, true, true, false])
+  t.deepEqual(callers.map(({ complete }) => complete), [true, true, true, false])
   const refused = callers[3].refused
   t.like(refused, { verdict: Verdict.NotRun, code: ErrorCode.UpstreamLimit })
   t.true((refused?.retryAfterMs ?? 0) > 5000 && (refused?.retryAfterMs ?? 0) <= 10_000, `${refused?.retryAfterMs}`)
@@ -40,7 +40,7 @@
   upstreams.unreachable.clear()
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/2'), caller))
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a failure response is passed on if no other upstream accepts the request', async (t) => {
--- a/request/relay/test/upstreamSignals.ts
+++ b/request/relay/test/upstreamSignals.ts
@@ -11,7 +11,7 @@
   t.deepEqual(upstreams.runs.map(({ instance }) => instance), ['d2'])
   t.is(upstreams.freed.length, 1)
   t.true(placer.requests[1].avoid.includes('d1'))
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a decode engine that refuses with a backoff is not asked again to compute the prompt itself', async (t) => {
@@ -40,7 +40,7 @@
   const callers = Array.from({ length: 4 }, () => new RecordingCaller())
   for (const [i, caller] of callers.entries()) await clock.run(relay.relay(requestTo('/fetch/1', { id: `r${i}` }), caller))
   t.false(upstreams.runs.some(({ instance }) => instance === 's1'))
-  t.true(callers.every(({ whole }) => whole))
+  t.true(callers.every(({ complete }) => complete))
   t.false(log.entries.some(({ event }) => event === LogEvent.UpstreamsAtLimit))
 })
 
@@ -74,7 +74,7 @@
   const caller = new RecordingCaller()
   await clock.run(relay.relay(requestTo('/fetch/2', { id: 'r2' }), caller))
   t.is(upstreams.runs.length, 2)
-  t.true(caller.whole)
+  t.true(caller.complete)
 })
 
 test('a refusal names a bounded number of the upstreams of a large pool', async (t) => {
--- a/scheduling/ledger/src/shardLedger.ts
+++ b/scheduling/ledger/src/shardLedger.ts
@@ -1,7 +1,7 @@
 import { type ListedUpstream } from '@reelspan/config.fleet'
 import { type HoldLabel, holdLabelKey, isOwnPrefill } from '@reelspan/core.messages'
 import { type Shard } from '@reelspan/scheduling.shards'
-import { type EngineReport, EngineRole, ReportStart, reportStart } from '@reelspan/upstream.client'
+import { type EngineReport, EngineRole, ReportedStart, compareReportedStart } from '@reelspan/upstream.client'
 import { DecodeAccount } from './decodeAccount.js'
 import { PrefillAccount } from './prefillAccount.js'
 
@@ -162,9 +162,9 @@
   recordReport (engineName: string, report: EngineReport, nowMs: number): void {
     const engine = this.#prefill.get(engineName) ?? this.#decode.get(engineName)
     if (!engine) return
-    const start = reportStart(engine, report)
-    if (start === ReportStart.Older) return
-    if (start === ReportStart.Newer) return this.markUnresponsive(engineName)
+    const start = compareReportedStart(engine, report)
+    if (start === ReportedStart.Older) return
+    if (start === ReportedStart.Newer) return this.markUnresponsive(engineName)
     engine.report = report
     engine.reportAtMs = nowMs
     engine.awaitsFirstReport = false
--- a/scheduling/ledger/test/restartedEngines.ts
+++ b/scheduling/ledger/test/restartedEngines.ts
@@ -3,13 +3,13 @@
 import { ShardLedger } from '@reelspan/scheduling.ledger'
 import { type Shard } from '@reelspan/scheduling.shards'
 import { type EngineReport, EngineRole } from '@reelspan/upstream.client'
-import { tuulDeclarations } from '@reelspan/utils.fakes'
+import { sampleDeclarations } from '@reelspan/utils.fakes'
 import test from 'ava'
 
 const LABEL = { ownerAddress: '10.0.0.1:1', ownerIncarnation: 'owner', requestId: '1', maxHoldMs: 1000 }
 
 function shardOf (startedAtMs: number): Shard {
-  const { configuration } = checkResources(tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
+  const { configuration } = checkResources(sampleDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
   const [spec, prefillPool, decodePool] = [configuration.model('draft'), configuration.pool('draft-prefill'), configuration.pool('draft-decode')]
   if (!spec || !prefillPool || !decodePool) throw new Error('the declarations have no model draft')
   const engineOf = (instance: string) => ({ name: `${instance}@${startedAtMs}`, instance, startedAtMs, kind: UpstreamKind.Engine, address: `${instance}:1`, availabilityZone: 'z', pool: 'x', leaving: false })
--- a/scheduling/owner-alone/src/index.ts
+++ b/scheduling/owner-alone/src/index.ts
@@ -1,6 +1,6 @@
-export { LocalPlacer as OwnerAlonePlacer } from './localPlacer.js'
+export { LocalPlacer } from './localPlacer.js'
 export type { LocalPlacerOptions } from './localPlacer.js'
 export { EnginePicker, RandomPicker, RoundRobinPicker, LeastLoadPicker, TwoChoicesPicker, createEnginePicker, PickerKind } from './enginePicker.js'
 export { ReportSource } from './reportSource.js'
 export { PolledReports } from './polledReports.js'
-export { OnDemandReports as FreshReports } from './onDemandReports.js'
+export { OnDemandReports } from './onDemandReports.js'
--- a/scheduling/owner-alone/src/localPlacer.ts
+++ b/scheduling/owner-alone/src/localPlacer.ts
@@ -21,9 +21,9 @@
    * The number of owners that are assumed to place as much as this one, so that its own
    * placements since the last report stand for all. 0 ignores placements since the report.
    */
-  ownWeight: () => number
+  assumedOwners: () => number
   /** Percentage of each decode engine's slots that may be used. */
-  placesPercent: number
+  slotPercent: number
 }
 
 interface Candidate {
@@ -107,7 +107,7 @@
 
   /** The load placed on an engine since its report: this owner's exactly, and the same total for each other owner, spread evenly over the engines. */
   #unreportedLoad (engine: string, listed: readonly ListedUpstream[], reportAtMs: number): number {
-    const owners = this.#opts.ownWeight()
+    const owners = this.#opts.assumedOwners()
     if (owners === 0) return 0
     const names = new Set(listed.map(({ name }) => name))
     const recent = this.#ownPlacements.filter((own) => names.has(own.engine) && own.placedAtMs > reportAtMs - REPORT_LAG_MS)
@@ -139,7 +139,7 @@
   }
 
   #hasCapacity (request: PlaceRequest, decode: Candidate, shard: Shard): boolean {
-    const slots = slotsWithinTarget(shard, request.tbtTargetMs) * this.#opts.placesPercent / 100
+    const slots = slotsWithinTarget(shard, request.tbtTargetMs) * this.#opts.slotPercent / 100
     const { kvBytesTotal, kvBytesUsed } = decode.dated.report
     return decode.load + 1 <= Math.max(1, slots) && kvBytesUsed + requestKvBytes(shard, request, TYPICAL_ANSWER_SHARE) <= kvBytesTotal
   }
@@ -149,7 +149,7 @@
     const costMs = this.#prefillMs(request, prefill.engine, shard)
     this.#ownPlacements = this.#ownPlacements.filter(({ placedAtMs }) => nowMs - placedAtMs < OWN_PLACEMENT_LIFE_MS)
     this.#ownPlacements.push({ engine: prefill.engine.name, placedAtMs: nowMs, load: costMs }, { engine: decode.engine.name, placedAtMs: nowMs, load: 1 })
-    this.#opts.index.noteSent(prefill.engine.name, request.prefixes, nowMs)
+    this.#opts.index.recordSent(prefill.engine.name, request.prefixes, nowMs)
     const plan: PlacementPlan = {
       outcome: PlacementOutcome.Placed,
       prefillEngine: prefill.engine.name,
@@ -161,7 +161,7 @@
       startWithinMs: START_WITHIN_MS,
       expectedTtftMs: prefill.load + costMs,
     }
-    return { plan, placedBy: 'owner alone', prefilled: () => {}, release: () => {}, progressed: () => {} }
+    return { plan, placedBy: 'owner alone', recordPrefillEnd: () => {}, release: () => {}, recordProgress: () => {} }
   }
 }
 
--- a/scheduling/owner-alone/src/onDemandReports.ts
+++ b/scheduling/owner-alone/src/onDemandReports.ts
@@ -1,5 +1,5 @@
 import { type Clock, type Random } from '@reelspan/core.env'
-import { type EngineClient, ReportStart, reportStart } from '@reelspan/upstream.client'
+import { type EngineClient, ReportedStart, compareReportedStart } from '@reelspan/upstream.client'
 import { type DatedReport, type ReportedUpstream, ReportSource } from './reportSource.js'
 
 export interface OnDemandReportsOptions {
@@ -27,7 +27,7 @@
       const { name, address } = upstream
       // The client reports the failure; engines without a report are not picked.
       const report = await engines.report(address, { timeoutMs }).catch(() => undefined)
-      return report && reportStart(upstream, report) === ReportStart.Same ? [[name, { report, atMs: clock.nowMs() }] as const] : []
+      return report && compareReportedStart(upstream, report) === ReportedStart.Same ? [[name, { report, atMs: clock.nowMs() }] as const] : []
     }))
     return new Map(answers.flat())
   }
--- a/scheduling/owner-alone/src/polledReports.ts
+++ b/scheduling/owner-alone/src/polledReports.ts
@@ -1,5 +1,5 @@
 import { type Clock, type TaskErrorListener, TaskGroup } from '@reelspan/core.env'
-import { type EngineClient, ReportStart, reportStart } from '@reelspan/upstream.client'
+import { type EngineClient, ReportedStart, compareReportedStart } from '@reelspan/upstream.client'
 import { type DatedReport, type ReportedUpstream, ReportSource } from './reportSource.js'
 
 export interface PolledReportsOptions {
@@ -38,7 +38,7 @@
       const { name, address } = upstream
       // The client reports the failure. An engine that did not answer has no report until the next poll.
       const report = await engines.report(address, { timeoutMs: periodMs }).catch(() => undefined)
-      if (report && reportStart(upstream, report) === ReportStart.Same) this.#latest.set(name, { report, atMs: clock.nowMs() })
+      if (report && compareReportedStart(upstream, report) === ReportedStart.Same) this.#latest.set(name, { report, atMs: clock.nowMs() })
       else this.#latest.delete(name)
     }))
   }
--- a/scheduling/placer/src/placer.ts
+++ b/scheduling/placer/src/placer.ts
@@ -13,11 +13,11 @@
   /** The box whose scheduler placed the request, or a label if it was placed without a scheduler. */
   placedBy: string
   /** Reports that the prefill has ended, so that its engine can start another one. */
-  prefilled: () => void
+  recordPrefillEnd: () => void
   /** Releases the reservation. Called exactly once however the request ends, with the outcomes of its engines and, if it finished, a report. */
   release: (report?: PlacementReport, outcomes?: readonly EngineOutcome[]) => void
   /** Reports that `tokensDone` tokens of the decode stream were received so far. */
-  progressed: (tokensDone: number) => void
+  recordProgress: (tokensDone: number) => void
 }
 
 /** Decides on which engines requests run. */
--- a/scheduling/prefix-index/src/entriesPrefixIndex.ts
+++ b/scheduling/prefix-index/src/entriesPrefixIndex.ts
@@ -15,7 +15,7 @@
     return [...this.#engines.values()].reduce((sum, { size }) => sum + size, 0)
   }
 
-  noteSent (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): void {
+  recordSent (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): void {
     this.entriesOf(engine).recordSent(prefixes, nowMs)
   }
 
--- a/scheduling/prefix-index/src/noPrefixIndex.ts
+++ b/scheduling/prefix-index/src/noPrefixIndex.ts
@@ -2,7 +2,7 @@
 
 /** Keeps no entries: the baseline without prefix locality. */
 export class NoPrefixIndex extends PrefixIndex {
-  noteSent (): void {}
+  recordSent (): void {}
 
   cachedTokens (): number {
     return 0
--- a/scheduling/prefix-index/src/prefixIndex.ts
+++ b/scheduling/prefix-index/src/prefixIndex.ts
@@ -14,7 +14,7 @@
 /** Estimates which prefixes each engine has cached. */
 export abstract class PrefixIndex {
   /** Records that a prompt with these prefixes was sent to the engine. */
-  abstract noteSent (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): void
+  abstract recordSent (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): void
 
   /** Number of tokens of the longest prefix that the engine has probably cached. */
   abstract cachedTokens (engine: string, prefixes: readonly CachedPrefix[], nowMs: number): number
--- a/scheduling/prefix-index/test/prefixIndex.ts
+++ b/scheduling/prefix-index/test/prefixIndex.ts
@@ -6,7 +6,7 @@
 
 function indexOf (kind: PrefixIndexKind) {
   const index = createPrefixIndex(kind)
-  index.noteSent('e', PREFIXES, 0)
+  index.recordSent('e', PREFIXES, 0)
   return index
 }
 
@@ -25,7 +25,7 @@
     const index = indexOf(kind)
     index.recordRemovals('e', { removedDigests: ['ab'], afterGap: false }, LATER_MS)
     t.is(index.cachedTokens('e', PREFIXES, LATER_MS), 64, kind)
-    index.noteSent('e', PREFIXES, LATER_MS + 100)
+    index.recordSent('e', PREFIXES, LATER_MS + 100)
     t.is(index.cachedTokens('e', PREFIXES, LATER_MS + 200), 128, kind)
   })
 })
@@ -49,6 +49,6 @@
 
 test('the number of entries per engine is bounded', (t) => {
   const index = createPrefixIndex(PrefixIndexKind.Events)
-  for (let i = 0; i < 10_000; i++) index.noteSent('e', [{ digest: String(i), tokens: 64 }], i)
+  for (let i = 0; i < 10_000; i++) index.recordSent('e', [{ digest: String(i), tokens: 64 }], i)
   t.is(index.size, 4000)
 })
--- a/scheduling/scheduler-placer/src/schedulerPlacer.ts
+++ b/scheduling/scheduler-placer/src/schedulerPlacer.ts
@@ -73,7 +73,7 @@
   }
 
   /** Sends this box's reservations to schedulers that have taken over a shard. */
-  async adoptByNewSchedulers (): Promise<void> {
+  async transferToNewSchedulers (): Promise<void> {
     const moved = [...this.#live.values()].flatMap((live) => {
       const shard = this.#shard(live.request)
       const scheduler = shard && schedulerOf(shard, this.#opts.schedulers())
@@ -134,7 +134,7 @@
   async #reserve (scheduler: Member, request: ReserveRequest, signal: AbortSignal): Promise<PlacementAnswer> {
     if (scheduler.incarnation === this.#opts.selfIncarnation()) return this.#reserveLocally(request)
     const timeoutMs = Math.max(0, request.ttftLeftMs, request.patienceMs ?? 0) + ANSWER_SLACK_MS
-    const answer = await this.#opts.link.call(scheduler.peerAddress, { type: MessageType.Reserve, request }, { timeoutMs, signal, endIfSilent: true })
+    const answer = await this.#opts.link.call(scheduler.peerAddress, { type: MessageType.Reserve, request }, { timeoutMs, signal, failIfUnresponsive: true })
     if (answer.type !== MessageType.ReserveAnswer) throw new Error(`unexpected answer ${answer.type}`)
     return answer.answer
   }
@@ -152,19 +152,19 @@
     return {
       plan,
       placedBy: scheduler.name,
-      prefilled: () => this.#sendPrefillEnd(live),
+      recordPrefillEnd: () => this.#sendPrefillEnd(live),
       release: (report, outcomes) => {
         this.#live.delete(key)
         this.#release(live.scheduler, request, report, outcomes)
         this.#releaseAtPreviousSchedulers(live)
       },
-      progressed: (tokensDone) => { live.tokensDone = tokensDone },
+      recordProgress: (tokensDone) => { live.tokensDone = tokensDone },
     }
   }
 
   #sendPrefillEnd ({ scheduler, request: { shardId, label } }: LivePlacement): void {
     const { link, localScheduler, selfIncarnation } = this.#opts
-    if (scheduler.incarnation === selfIncarnation()) return localScheduler(shardId)?.prefilled(label)
+    if (scheduler.incarnation === selfIncarnation()) return localScheduler(shardId)?.recordPrefillEnd(label)
     // The link reports a failure; the scheduler then relies on its own estimate.
     link.call(scheduler.peerAddress, { type: MessageType.PrefillDone, shardId, label }, { timeoutMs: RELEASE_TIMEOUT_MS, repeatable: true }).catch(() => {})
   }
--- a/scheduling/scheduler-placer/test/__utils__/createPlacer.ts
+++ b/scheduling/scheduler-placer/test/__utils__/createPlacer.ts
@@ -7,7 +7,7 @@
 import { SchedulerPlacer } from '@reelspan/scheduling.scheduler-placer'
 import { type Shard } from '@reelspan/scheduling.shards'
 import { EngineRole } from '@reelspan/upstream.client'
-import { tuulDeclarations, VirtualClock } from '@reelspan/utils.fakes'
+import { sampleDeclarations, VirtualClock } from '@reelspan/utils.fakes'
 
 const SELF = 'a'.repeat(16)
 const OTHER = 'b'.repeat(16)
@@ -56,7 +56,7 @@
   const clock = new VirtualClock()
   const link = new ManualLink()
   const fallback = new RecordingPlacer()
-  const createScheduler = (shard: Shard) => new ShardScheduler({ clock, shard, route: () => undefined, index: createPrefixIndex(PrefixIndexKind.Events), reportLifeMs: 1_000_000 })
+  const createScheduler = (shard: Shard) => new ShardScheduler({ clock, shard, route: () => undefined, index: createPrefixIndex(PrefixIndexKind.Events), maxReportAgeMs: 1_000_000 })
   const listed = Array.from({ length: shards }, (_, i) => shardOf(`draft#${i}`))
   const schedulers = new Map(listed.map((shard) => [shard.id, createScheduler(shard)]))
   // A new list after each change, as in a membership view.
@@ -90,8 +90,8 @@
 /** Records the first reports of the engines, so that the scheduler places waiting requests. */
 export function reportEngines (scheduler: ShardScheduler): void {
   const report = { loaded: [{ model: 'draft', version: '1' }], changing: false, placesUsed: 0, placesTotal: 20, kvBytesUsed: 0, kvBytesTotal: 4e9, prefillQueueMs: 0, fence: 0, holds: [] }
-  scheduler.noteReport('d-1', { ...report, role: EngineRole.Decode })
-  scheduler.noteReport('p-1', { ...report, role: EngineRole.Prefill })
+  scheduler.recordReport('d-1', { ...report, role: EngineRole.Decode })
+  scheduler.recordReport('p-1', { ...report, role: EngineRole.Prefill })
 }
 
 export function requestOf (requestId: string): PlaceRequest {
@@ -115,7 +115,7 @@
 export const PLAN: PlacementPlan = { outcome: PlacementOutcome.Placed, prefillEngine: 'p-1', prefillAddress: 'p:1', decodeEngine: 'd-1', decodeAddress: 'd:1', kvBytes: 1, startInMs: 0, startWithinMs: 300, expectedTtftMs: 130 }
 
 function shardOf (id: string): Shard {
-  const { configuration } = checkResources(tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
+  const { configuration } = checkResources(sampleDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
   const spec = configuration.model('draft')
   const prefillPool = configuration.pool('draft-prefill')
   const decodePool = configuration.pool('draft-decode')
--- a/scheduling/scheduler-placer/test/unresponsiveConnection.ts
+++ b/scheduling/scheduler-placer/test/unresponsiveConnection.ts
@@ -53,7 +53,7 @@
 
 class FallbackPlacer extends Placer {
   async place (): Promise<Placement> {
-    return { plan: PLAN, placedBy: 'alone', prefilled: () => {}, release: () => {}, progressed: () => {} }
+    return { plan: PLAN, placedBy: 'alone', recordPrefillEnd: () => {}, release: () => {}, recordProgress: () => {} }
   }
 }
 
@@ -85,5 +85,5 @@
   const { placement, sent } = await placeWithFailure(new PeerLinkError('the peer does not answer', { mayHaveArrived: true }))
   t.like(placement, { placedBy: 'alone' })
   t.deepEqual(sent.map(({ message }) => message.type), [MessageType.Reserve, MessageType.ReleaseReservation])
-  t.true(sent[0].opts.endIfSilent)
+  t.true(sent[0].opts.failIfUnresponsive)
 })
--- a/scheduling/scheduler/src/engineLimits.ts
+++ b/scheduling/scheduler/src/engineLimits.ts
@@ -1,6 +1,6 @@
 import { type Clock } from '@reelspan/core.env'
-import { LimitBook } from '@reelspan/membership.limits'
-import { permitBucket } from '@reelspan/upstream.limits'
+import { TokenBucketStore } from '@reelspan/membership.limits'
+import { planPermitBucket } from '@reelspan/upstream.limits'
 
 export interface EngineLimitsOptions {
   clock: Clock
@@ -14,15 +14,15 @@
  */
 export class EngineLimits {
   readonly #opts: EngineLimitsOptions
-  readonly #tokenBuckets: LimitBook
+  readonly #tokenBuckets: TokenBucketStore
 
   constructor (opts: EngineLimitsOptions) {
     this.#opts = opts
-    const planOf = (engine: string) => {
+    const configOf = (engine: string) => {
       const perSecond = opts.perSecond?.(engine)
-      return perSecond === undefined ? undefined : permitBucket(perSecond, 1, 0)
+      return perSecond === undefined ? undefined : planPermitBucket(perSecond, 1, 0)
     }
-    this.#tokenBuckets = new LimitBook({ clock: opts.clock, planOf })
+    this.#tokenBuckets = new TokenBucketStore({ clock: opts.clock, configOf })
   }
 
   /** Time until an engine accepts another request; 0 if it does now. */
@@ -32,7 +32,7 @@
 
   /** Takes a permit of each engine that a request was placed on. */
   recordPlacement (engines: readonly string[]): void {
-    new Set(engines).forEach((engine) => this.#tokenBuckets.take(engine, 1))
+    new Set(engines).forEach((engine) => this.#tokenBuckets.acquire(engine, 1))
   }
 
   retain (listed: ReadonlySet<string>): void {
--- a/scheduling/scheduler/src/shardScheduler.ts
+++ b/scheduling/scheduler/src/shardScheduler.ts
@@ -26,7 +26,7 @@
   /** The route of the shard's model, for client weights and shares. */
   route: () => RouteSpec | undefined
   index: PrefixIndex
-  reportLifeMs: number
+  maxReportAgeMs: number
   /** Requests per second that an engine accepts; undefined if it advertises no limit. */
   limitPerSecond?: (engine: string) => number | undefined
   /** Called when an owner could not reach an engine, so that the engine is probed. */
@@ -75,7 +75,7 @@
 
   constructor (opts: ShardSchedulerOptions) {
     this.#opts = opts
-    this.ledger = new ShardLedger(opts.shard, { maxReportAgeMs: opts.reportLifeMs })
+    this.ledger = new ShardLedger(opts.shard, { maxReportAgeMs: opts.maxReportAgeMs })
     this.#observations = new PlacementObservations(this.ledger)
     const { lengths, placesLimit } = this.#observations
     this.#health = new UpstreamHealth(opts)
@@ -146,7 +146,7 @@
   }
 
   /** Called when the owner reports the end of a prefill. */
-  prefilled (label: HoldLabel): void {
+  recordPrefillEnd (label: HoldLabel): void {
     this.ledger.recordPrefillEnd(label, this.#opts.clock.nowMs())
     this.#runCycle()
   }
@@ -181,18 +181,18 @@
     this.#runCycle()
   }
 
-  noteReport (engine: string, report: EngineReport): void {
+  recordReport (engine: string, report: EngineReport): void {
     this.ledger.recordReport(engine, report, this.#opts.clock.nowMs())
     this.#runCycle()
   }
 
-  noteSilent (engine: string): void {
+  markUnresponsive (engine: string): void {
     this.ledger.markUnresponsive(engine)
     this.#opts.index.removeEngine(engine)
     this.#runCycle()
   }
 
-  noteRemovals (engine: string, page: RemovalPage): void {
+  recordRemovals (engine: string, page: RemovalPage): void {
     this.#opts.index.recordRemovals(engine, page, this.#opts.clock.nowMs())
     this.#invalidateCosts(engine)
   }
@@ -221,7 +221,7 @@
   #recordOutcome (engine: string, outcome: UpstreamOutcome): void {
     const pool = this.ledger.poolOf(engine)
     if (pool.length === 0) return
-    this.#health.note(engine, outcome, pool)
+    this.#health.record(engine, outcome, pool)
     if (outcome === UpstreamOutcome.Unreachable) this.#opts.onUnreachable?.(engine)
   }
 
@@ -284,7 +284,7 @@
     this.ledger.reserve(entry, nowMs)
     this.#limits.recordPlacement([prefill.name, decode.name])
     if (!isOwnPrefill(entry)) {
-      this.#opts.index.noteSent(prefill.name, request.prefixes, nowMs)
+      this.#opts.index.recordSent(prefill.name, request.prefixes, nowMs)
       this.#invalidateCosts(prefill.name)
     }
     const weight = this.#opts.route()?.clientWeights[request.client] ?? 1
--- a/scheduling/scheduler/test/__utils__/createShard.ts
+++ b/scheduling/scheduler/test/__utils__/createShard.ts
@@ -6,7 +6,7 @@
 import { ShardScheduler, type ShardSchedulerOptions } from '@reelspan/scheduling.scheduler'
 import { type Shard } from '@reelspan/scheduling.shards'
 import { type EngineReport, EngineRole } from '@reelspan/upstream.client'
-import { tuulDeclarations, VirtualClock } from '@reelspan/utils.fakes'
+import { sampleDeclarations, VirtualClock } from '@reelspan/utils.fakes'
 
 export interface TestShardOptions {
   prefill?: number
@@ -30,10 +30,10 @@
   const clock = new VirtualClock()
   const derived = shardOf({ prefill, decode, slots, zones })
   const shard = { ...derived, spec: { ...derived.spec, decodePrefillTokensPerSecond } }
-  const scheduler = new ShardScheduler({ clock, shard, route: () => route as RouteSpec | undefined, index: createPrefixIndex(PrefixIndexKind.Events), reportLifeMs: 1_000_000, limitPerSecond, onUnreachable, onAdmission, onTaskError })
+  const scheduler = new ShardScheduler({ clock, shard, route: () => route as RouteSpec | undefined, index: createPrefixIndex(PrefixIndexKind.Events), maxReportAgeMs: 1_000_000, limitPerSecond, onUnreachable, onAdmission, onTaskError })
   if (!reported) return { clock, scheduler, shard }
-  shard.prefillEngines.forEach(({ name }) => scheduler.noteReport(name, reportOf(EngineRole.Prefill)))
-  shard.decodeEngines.forEach(({ name }) => scheduler.noteReport(name, reportOf(EngineRole.Decode)))
+  shard.prefillEngines.forEach(({ name }) => scheduler.recordReport(name, reportOf(EngineRole.Prefill)))
+  shard.decodeEngines.forEach(({ name }) => scheduler.recordReport(name, reportOf(EngineRole.Decode)))
   return { clock, scheduler, shard }
 }
 
@@ -67,7 +67,7 @@
 }
 
 function shardOf ({ prefill, decode, slots, zones }: Required<Pick<TestShardOptions, 'prefill' | 'decode' | 'slots' | 'zones'>>): Shard {
-  const { configuration } = checkResources(tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
+  const { configuration } = checkResources(sampleDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
   const spec = configuration.model('draft')
   const prefillPool = configuration.pool('draft-prefill')
   const decodePool = configuration.pool('draft-decode')
--- a/scheduling/scheduler/test/__utils__/playRequests.ts
+++ b/scheduling/scheduler/test/__utils__/playRequests.ts
@@ -43,7 +43,7 @@
     }
     if (plan.prefillEngine === plan.decodeEngine) outcome.ownPrefills++
     await clock.sleep(firstTokenMs(plan, one))
-    scheduler.prefilled(one.label)
+    scheduler.recordPrefillEnd(one.label)
     if (clock.nowMs() - sentAtMs <= one.ttftLeftMs) outcome.inTime++
     await clock.sleep(streamMs(plan))
     scheduler.release(one.label, { completionTokens: one.maxTokens, ttftErrorMs: 0, tbtP50Ms: 20 })
--- a/scheduling/scheduler/test/ownPrefill.ts
+++ b/scheduling/scheduler/test/ownPrefill.ts
@@ -75,7 +75,7 @@
 
 test('an engine whose reported role differs from the fleet list gets no work', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 2, decode: 2 })
-  scheduler.noteReport('p-1', reportOf(EngineRole.Decode))
+  scheduler.recordReport('p-1', reportOf(EngineRole.Decode))
   const answers = await clock.run(Promise.all([scheduler.reserve(requestOf(TARGET)), scheduler.reserve(requestOf(TARGET))]))
   t.deepEqual(answers.map((answer) => answer.outcome === PlacementOutcome.Placed && answer.prefillEngine), ['p-2', 'p-2'])
 })
--- a/scheduling/scheduler/test/shardScheduler.ts
+++ b/scheduling/scheduler/test/shardScheduler.ts
@@ -116,7 +116,7 @@
 test('holds of other schedulers on an engine are counted', async (t) => {
   const { clock, scheduler } = createShard({ decode: 1, slots: 2 })
   const label = { ownerAddress: 'x', ownerIncarnation: 'script', requestId: '1', maxHoldMs: 1 }
-  scheduler.noteReport('d-1', reportOf(EngineRole.Decode, { holds: [{ label, kind: HoldKind.Decode, kvBytes: 1, tokensDone: 3 }] }))
+  scheduler.recordReport('d-1', reportOf(EngineRole.Decode, { holds: [{ label, kind: HoldKind.Decode, kvBytes: 1, tokensDone: 3 }] }))
   const answers = await clock.run(Promise.all([scheduler.reserve(requestOf()), scheduler.reserve(requestOf())]))
   t.is(placedCount(answers), 1)
 })
@@ -137,7 +137,7 @@
     void scheduler.reserve(request).then(async (answer) => {
       answers.push(answer)
       await clock.sleep(80)
-      scheduler.prefilled(request.label)
+      scheduler.recordPrefillEnd(request.label)
     })
     await clock.advance(30)
   }
@@ -149,22 +149,22 @@
   const { clock, scheduler } = createShard({ prefill: 2 })
   const request = requestOf({ prefixes: sharedPrefix('a') })
   const engine = prefillOf(await clock.run(scheduler.reserve(request))) as string
-  scheduler.noteRemovals(engine, { removedDigests: ['a'], afterGap: false })
+  scheduler.recordRemovals(engine, { removedDigests: ['a'], afterGap: false })
   const again = await clock.run(scheduler.reserve(requestOf({ prefixes: sharedPrefix('a') })))
   t.not(prefillOf(again), engine, 'the first engine is busy and has no advantage')
 })
 
 test('prefill and decode engines of different versions are never paired', async (t) => {
   const { clock, scheduler } = createShard({ prefill: 1, decode: 2 })
-  scheduler.noteReport('d-1', reportOf(EngineRole.Decode, { loaded: [{ model: 'draft', version: '2' }] }))
+  scheduler.recordReport('d-1', reportOf(EngineRole.Decode, { loaded: [{ model: 'draft', version: '2' }] }))
   const answers = await clock.run(Promise.all([scheduler.reserve(requestOf()), scheduler.reserve(requestOf())]))
   t.deepEqual([...new Set(answers.flatMap((answer) => answer.outcome === PlacementOutcome.Placed ? answer.decodeEngine : []))], ['d-2'])
 })
 
 test('an engine that is unresponsive, changing, leaving or retiring gets no work', async (t) => {
   const { clock, scheduler, shard } = createShard({ prefill: 5 })
-  scheduler.noteSilent('p-1')
-  scheduler.noteReport('p-2', reportOf(EngineRole.Prefill, { changing: true }))
+  scheduler.markUnresponsive('p-1')
+  scheduler.recordReport('p-2', reportOf(EngineRole.Prefill, { changing: true }))
   scheduler.update({ ...shard, prefillEngines: shard.prefillEngines.map((engine) => ({ ...engine, leaving: engine.name === 'p-3' })) })
   scheduler.ledger.prefillEngines().forEach((engine) => { engine.retiring = engine.name === 'p-4' })
   const answers = await clock.run(Promise.all(Array.from({ length: 8 }, () => scheduler.reserve(requestOf()))))
@@ -179,7 +179,7 @@
   const low = scheduler.reserve(requestOf({ priority: 0 })).then(({ outcome }) => order.push(`low ${outcome}`))
   const high = scheduler.reserve(requestOf({ priority: 5 })).then(({ outcome }) => order.push(`high ${outcome}`))
   await clock.advance(120)
-  scheduler.prefilled(running.label)
+  scheduler.recordPrefillEnd(running.label)
   await clock.run(Promise.all([low, high]))
   t.is(order[0], 'high placed')
 })
@@ -193,7 +193,7 @@
       outcomes[client].push(answer.outcome)
       if (answer.outcome === PlacementOutcome.Refused) return
       await clock.sleep(70)
-      scheduler.prefilled(request.label)
+      scheduler.recordPrefillEnd(request.label)
       await clock.sleep(500)
       scheduler.release(request.label, REPORT)
     })
@@ -247,7 +247,7 @@
     const request = requestOf()
     await clock.run(scheduler.reserve(request))
     await clock.advance(260)
-    scheduler.prefilled(request.label)
+    scheduler.recordPrefillEnd(request.label)
     scheduler.release(request.label, REPORT)
   }
   const factor = scheduler.ledger.prefillEngines()[0].account.speedFactor
@@ -299,7 +299,7 @@
   const { clock, scheduler, place } = await createBusyShard()
   const waiting = place(patientRequest())
   await clock.advance(30)
-  scheduler.noteSilent('p-1')
+  scheduler.markUnresponsive('p-1')
   const lostAtMs = clock.nowMs()
   const answer = await clock.run(waiting)
   t.like(answer, { outcome: PlacementOutcome.Refused, reason: 'no engine of the model takes work' })
@@ -329,14 +329,14 @@
   const refused = scheduler.reserve(requestOf({ patienceMs: 2000, label: { ownerAddress: '10.0.0.1:1', ownerIncarnation: 'owner', requestId: 'second', maxHoldMs: 30_000 } }))
   await clock.advance(100)
   t.is(scheduler.describe().waiting, 2)
-  scheduler.noteReport(shard.prefillEngines[0].name, reportOf(EngineRole.Prefill))
-  scheduler.noteReport(shard.decodeEngines[0].name, reportOf(EngineRole.Decode))
+  scheduler.recordReport(shard.prefillEngines[0].name, reportOf(EngineRole.Prefill))
+  scheduler.recordReport(shard.decodeEngines[0].name, reportOf(EngineRole.Decode))
   t.is((await clock.run(placed)).outcome, PlacementOutcome.Placed)
   await clock.run(refused)
 
   const silent = createShard({ reported: false })
   const answer = silent.scheduler.reserve(requestOf({ patienceMs: 2000 }));
-  [...silent.shard.prefillEngines, ...silent.shard.decodeEngines].forEach(({ name }) => silent.scheduler.noteSilent(name))
+  [...silent.shard.prefillEngines, ...silent.shard.decodeEngines].forEach(({ name }) => silent.scheduler.markUnresponsive(name))
   const askedAtMs = silent.clock.nowMs()
   t.is((await silent.clock.run(answer)).outcome, PlacementOutcome.Refused)
   t.true(silent.clock.nowMs() - askedAtMs <= 10, 'as soon as this is known')
--- a/scheduling/scheduler/test/urgency.ts
+++ b/scheduling/scheduler/test/urgency.ts
@@ -38,7 +38,7 @@
         tally.served++
         if (clock.nowMs() + answer.expectedTtftMs - firstAtMs <= TTFT_TARGET_MS) tally.inTime++
         await clock.sleep(promptTokens * PREFILL_MS_PER_TOKEN)
-        scheduler.prefilled(label)
+        scheduler.recordPrefillEnd(label)
         await clock.sleep(streamMs)
         scheduler.release(label)
         return
@@ -49,7 +49,7 @@
   const running: Promise<void>[] = []
   for (const [i, { gapMs, promptTokens, urgentFirst }] of arrivals.entries()) {
     await clock.advance(gapMs)
-    if (i === engineLostAt) scheduler.noteSilent('d-2')
+    if (i === engineLostAt) scheduler.markUnresponsive('d-2')
     running.push(...(urgentFirst ? ['urgent', 'other'] as const : ['other', 'urgent'] as const).map((kind) => carryOut(kind, promptTokens)))
   }
   await clock.run(Promise.all(running))
--- a/scheduling/scheduler/test/zones.ts
+++ b/scheduling/scheduler/test/zones.ts
@@ -14,7 +14,7 @@
   const plan = await clock.run(scheduler.reserve(request))
   if (plan.outcome !== PlacementOutcome.Placed) throw new Error(plan.reason)
   await clock.advance(150)
-  scheduler.prefilled(request.label)
+  scheduler.recordPrefillEnd(request.label)
   return plan
 }
 
--- a/scheduling/shards/test/deriveShards.ts
+++ b/scheduling/shards/test/deriveShards.ts
@@ -2,10 +2,10 @@
 import { checkResources } from '@reelspan/config.resources'
 import { MemberHealth } from '@reelspan/core.messages'
 import { deriveShards, schedulerOf } from '@reelspan/scheduling.shards'
-import { tuulDeclarations } from '@reelspan/utils.fakes'
+import { sampleDeclarations } from '@reelspan/utils.fakes'
 import test from 'ava'
 
-const { configuration } = checkResources(tuulDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
+const { configuration } = checkResources(sampleDeclarations().map((entry) => ({ ...entry, revision: 1 })), 1)
 
 function engines (pool: string, count: number): ListedUpstream[] {
   return Array.from({ length: count }, (_, i) => ({ name: `${pool}-${i}`, kind: UpstreamKind.Engine, address: `10.0.0.1:${i}`, availabilityZone: `zone-${i % 4}`, pool, leaving: false }))
--- a/telemetry/log/src/boundedLineStream.ts
+++ b/telemetry/log/src/boundedLineStream.ts
@@ -46,7 +46,7 @@
 
   write (line: string): void {
     const { maxQueuedBytes = MAX_QUEUED_BYTES } = this.#opts
-    if (!this.#rateLimiter.take() || this.#queuedBytes + line.length > maxQueuedBytes) {
+    if (!this.#rateLimiter.tryAcquire() || this.#queuedBytes + line.length > maxQueuedBytes) {
       this.#unreportedDrops++
       return
     }
--- a/telemetry/log/src/rateLimiter.ts
+++ b/telemetry/log/src/rateLimiter.ts
@@ -17,7 +17,7 @@
   }
 
   /** Returns whether one more event is allowed now, and counts it. */
-  take (): boolean {
+  tryAcquire (): boolean {
     const nowMs = this.#opts.nowMs()
     if (nowMs - this.#windowStartMs >= MS_PER_SECOND) {
       this.#windowStartMs = nowMs
--- a/upstream/client/src/upstreamError.ts
+++ b/upstream/client/src/upstreamError.ts
@@ -19,7 +19,7 @@
   readonly failed: boolean
 
   /** The request was sent, and the answer was interrupted or did not arrive. */
-  get brokeOff (): boolean {
+  get interrupted (): boolean {
     return this.verdict === Verdict.MayHaveRun && !this.refused && !this.failed
   }
 
--- a/upstream/client/src/upstreamProbe.ts
+++ b/upstream/client/src/upstreamProbe.ts
@@ -1,15 +1,15 @@
 /** Result of a connection attempt to an upstream's address. */
 export enum UpstreamProbeResult {
   /** A process accepts connections: the upstream, or another process that has since taken the address. */
-  Listens = 'listens',
+  Listening = 'listens',
   /** The machine is up but no process listens: the upstream's process has exited. */
-  Refuses = 'refuses',
+  Refused = 'refuses',
   /** No answer. The state of the upstream is unknown. */
-  Silent = 'silent',
+  Unresponsive = 'silent',
 }
 
 /** Checks whether a process listens at an upstream's address. */
 export abstract class UpstreamProbe {
   /** Never throws. */
-  abstract look (address: string): Promise<UpstreamProbeResult>
+  abstract probe (address: string): Promise<UpstreamProbeResult>
 }
--- a/upstream/health/src/upstreamFailureReports.ts
+++ b/upstream/health/src/upstreamFailureReports.ts
@@ -1,5 +1,5 @@
 import { type Clock } from '@reelspan/core.env'
-import { TellRate } from '@reelspan/membership.prober'
+import { AnnouncementLimiter } from '@reelspan/membership.prober'
 
 /** Report of a box that an upstream closed the connection without answering a request. */
 export interface UpstreamFailureReport {
@@ -39,7 +39,7 @@
   readonly #lastReports = new Map<string, LastReport>()
   readonly #avoidUntilMs = new Map<string, number>()
   /** Limits broadcasts: two reports that agree are sufficient for one upstream. */
-  readonly #broadcastRate = new TellRate()
+  readonly #broadcastRate = new AnnouncementLimiter()
 
   constructor ({ clock }: { clock: Clock }) {
     this.#clock = clock
@@ -51,7 +51,7 @@
     this.#expire(nowMs)
     if (this.#receivedAtMs.has(id) || ageMs > REPORT_TTL_MS) return false
     this.#receivedAtMs.set(id, nowMs)
-    const mayBroadcast = !this.isFailing(upstream) && this.#broadcastRate.take(upstream, nowMs)
+    const mayBroadcast = !this.isFailing(upstream) && this.#broadcastRate.tryAcquire(upstream, nowMs)
     const atMs = nowMs - ageMs
     const last = this.#lastReports.get(upstream)
     if (last && last.box !== box && Math.abs(atMs - last.atMs) <= AGREEMENT_WINDOW_MS) this.#avoidUntilMs.set(upstream, Math.max(atMs, last.atMs) + AVOID_MS)
--- a/upstream/health/src/upstreamHealth.ts
+++ b/upstream/health/src/upstreamHealth.ts
@@ -36,7 +36,7 @@
     this.#opts = opts
   }
 
-  note (upstream: string, outcome: UpstreamOutcome, pool: readonly string[]): void {
+  record (upstream: string, outcome: UpstreamOutcome, pool: readonly string[]): void {
     const stats = this.#statsOf(upstream)
     const failed = outcome === UpstreamOutcome.Answered ? 0 : 1
     stats.weightedFailures += SMOOTHING * (failed - stats.weightedFailures)
--- a/upstream/health/test/upstreamFailureReports.ts
+++ b/upstream/health/test/upstreamFailureReports.ts
@@ -1,16 +1,16 @@
-import { type UpstreamReport, UpstreamReports } from '@reelspan/upstream.health'
+import { type UpstreamFailureReport, UpstreamFailureReports } from '@reelspan/upstream.health'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
 let nextId = 0
 
-function report (box: string, over: Partial<UpstreamReport> = {}): UpstreamReport {
+function report (box: string, over: Partial<UpstreamFailureReport> = {}): UpstreamFailureReport {
   return { id: `r${nextId++}`, upstream: 'desk-1', box, ageMs: 0, ...over }
 }
 
 function createReports () {
   const clock = new VirtualClock()
-  return { clock, reports: new UpstreamReports({ clock }) }
+  return { clock, reports: new UpstreamFailureReports({ clock }) }
 }
 
 test('an upstream that two boxes report at about the same time is avoided for a second', async (t) => {
--- a/upstream/health/test/upstreamHealth.ts
+++ b/upstream/health/test/upstreamHealth.ts
@@ -12,46 +12,46 @@
 
 test('an unreachable upstream is suspected at once, and for longer each time', async (t) => {
   const { clock, health } = createHealth()
-  health.note('a', UpstreamOutcome.Unreachable, POOL)
+  health.record('a', UpstreamOutcome.Unreachable, POOL)
   t.true(health.isSuspect('a'))
   await clock.advance(1000)
   t.false(health.isSuspect('a'))
-  health.note('a', UpstreamOutcome.Unreachable, POOL)
+  health.record('a', UpstreamOutcome.Unreachable, POOL)
   await clock.advance(1500)
   t.true(health.isSuspect('a'))
   await clock.advance(500)
-  health.note('a', UpstreamOutcome.Answered, POOL)
-  health.note('a', UpstreamOutcome.Unreachable, POOL)
+  health.record('a', UpstreamOutcome.Answered, POOL)
+  health.record('a', UpstreamOutcome.Unreachable, POOL)
   await clock.advance(1000)
   t.false(health.isSuspect('a'))
 })
 
 test('failures common to all upstreams of a pool cause no suspicion', (t) => {
   const { health } = createHealth()
-  for (let i = 0; i < 60; i++) POOL.forEach((name) => health.note(name, i % 3 === 0 ? UpstreamOutcome.Failed : UpstreamOutcome.Answered, POOL))
+  for (let i = 0; i < 60; i++) POOL.forEach((name) => health.record(name, i % 3 === 0 ? UpstreamOutcome.Failed : UpstreamOutcome.Answered, POOL))
   t.deepEqual(health.suspects(), [])
 })
 
 test('an upstream that fails much more often than the others is suspected', (t) => {
   const { health } = createHealth()
   for (let i = 0; i < 10; i++) {
-    health.note('a', UpstreamOutcome.Failed, POOL)
-    health.note('b', UpstreamOutcome.Answered, POOL)
-    health.note('c', i % 5 === 0 ? UpstreamOutcome.Failed : UpstreamOutcome.Answered, POOL)
+    health.record('a', UpstreamOutcome.Failed, POOL)
+    health.record('b', UpstreamOutcome.Answered, POOL)
+    health.record('c', i % 5 === 0 ? UpstreamOutcome.Failed : UpstreamOutcome.Answered, POOL)
   }
   t.deepEqual(health.suspects(), ['a'])
 })
 
 test('a few consecutive failures are sufficient if the other upstreams have none', (t) => {
   const { health } = createHealth()
-  for (let i = 0; i < 4; i++) health.note('a', i % 2 === 0 ? UpstreamOutcome.Failed : UpstreamOutcome.Answered, POOL)
-  health.note('a', UpstreamOutcome.Failed, POOL)
+  for (let i = 0; i < 4; i++) health.record('a', i % 2 === 0 ? UpstreamOutcome.Failed : UpstreamOutcome.Answered, POOL)
+  health.record('a', UpstreamOutcome.Failed, POOL)
   t.deepEqual(health.suspects(), ['a'])
 })
 
 test('upstreams that are no longer listed are removed', (t) => {
   const { health } = createHealth()
-  POOL.forEach((name) => health.note(name, UpstreamOutcome.Unreachable, POOL))
+  POOL.forEach((name) => health.record(name, UpstreamOutcome.Unreachable, POOL))
   health.retain(new Set(['b']))
   t.deepEqual(health.describe().map(({ upstream }) => upstream), ['b'])
 })
--- a/upstream/holds/src/holdSweeper.ts
+++ b/upstream/holds/src/holdSweeper.ts
@@ -9,10 +9,10 @@
   /** Whether an incarnation is known to be gone permanently. */
   isGone: (incarnation: string) => boolean
   /** Whether a hold belongs to an active reservation, so that its owner need not be asked. */
-  isAccounted: (label: HoldLabel) => boolean
+  isReserved: (label: HoldLabel) => boolean
   /** Returns which requests of an incarnation of this box still run; undefined for incarnations of other boxes. */
-  vouchHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
-  vouchTimeoutMs: number
+  confirmRunningHere: (incarnation: string, requestIds: readonly string[]) => string[] | undefined
+  confirmTimeoutMs: number
   releaseTimeoutMs: number
   onRelease?: (engine: string, hold: EngineHold, reason: ReleaseReason) => void
 }
@@ -59,7 +59,7 @@
   async #decide (engineName: string, ownerHolds: readonly EngineHold[]): Promise<ReleaseDecision[]> {
     const { ownerIncarnation, ownerAddress } = ownerHolds[0].label
     if (this.#opts.isGone(ownerIncarnation)) return ownerHolds.map(() => ({ release: true, reason: ReleaseReason.OwnerGone }))
-    const unreserved = ownerHolds.filter(({ label }) => !this.#opts.isAccounted(label))
+    const unreserved = ownerHolds.filter(({ label }) => !this.#opts.isReserved(label))
     if (unreserved.length === 0) return ownerHolds.map(() => ({ release: false, reason: ReleaseReason.NotConfirmed }))
     const confirmed = await this.#askOwner(ownerAddress, ownerIncarnation, ownerHolds.map(({ label }) => label.requestId))
     if (confirmed) return ownerHolds.map(({ label }) => ({ release: !confirmed.has(label.requestId), reason: ReleaseReason.NotConfirmed }))
@@ -68,7 +68,7 @@
 
   /** Returns the confirmed request IDs, or undefined if the owner could not be asked. */
   async #askOwner (address: string, ownerIncarnation: string, requestIds: string[]): Promise<Set<string> | undefined> {
-    const { link, vouchHere: confirmRunningHere, vouchTimeoutMs: confirmTimeoutMs } = this.#opts
+    const { link, confirmRunningHere, confirmTimeoutMs } = this.#opts
     const confirmedLocally = confirmRunningHere(ownerIncarnation, requestIds)
     if (confirmedLocally) return new Set(confirmedLocally)
     // The link logs the failure. The hold is kept until its label expires.
--- a/upstream/holds/test/holdSweeper.ts
+++ b/upstream/holds/test/holdSweeper.ts
@@ -25,9 +25,9 @@
     link: { call: answer } as unknown as PeerLink,
     engines: { release: async (_address: string, { requestId }: HoldLabel) => { released.push(requestId) } } as unknown as EngineClient,
     isGone: () => false,
-    isAccounted: () => false,
-    vouchHere: () => undefined,
-    vouchTimeoutMs: 100,
+    isReserved: () => false,
+    confirmRunningHere: () => undefined,
+    confirmTimeoutMs: 100,
     releaseTimeoutMs: 100,
     ...over,
   })
--- a/upstream/limits/src/index.ts
+++ b/upstream/limits/src/index.ts
@@ -1,6 +1,6 @@
-export { planPermitBucket as permitBucket } from './planPermitBucket.js'
+export { planPermitBucket } from './planPermitBucket.js'
 export { PermitMessages } from './permitMessages.js'
-export { RetryTimes as ReturnTimes } from './retryTimes.js'
+export { RetryTimes } from './retryTimes.js'
 export { SendPermit, WaitReason } from './sendPermit.js'
 export type { SendWait } from './sendPermit.js'
 export { SendPermits } from './sendPermits.js'
--- a/upstream/limits/src/permitMessages.ts
+++ b/upstream/limits/src/permitMessages.ts
@@ -11,7 +11,7 @@
     this.#updateOf = updateOf
   }
 
-  take ({ name: upstream, cost }: LimitedCost): PeerMessage {
+  acquire ({ name: upstream, cost }: LimitedCost): PeerMessage {
     return { type: MessageType.UpstreamTake, upstream, cost, said: this.#updateOf(upstream) }
   }
 
@@ -19,7 +19,7 @@
     return answer.type === MessageType.UpstreamTaken ? answer.waitMs : undefined
   }
 
-  giveBack ({ name: upstream, cost }: LimitedCost): PeerMessage {
+  release ({ name: upstream, cost }: LimitedCost): PeerMessage {
     return { type: MessageType.UpstreamGiveBack, upstream, cost }
   }
 }
--- a/upstream/limits/src/retryTimes.ts
+++ b/upstream/limits/src/retryTimes.ts
@@ -39,7 +39,7 @@
    * @param perSecond the sum of the rate limits of these upstreams
    * @param earliestMs time until the first of them has a permit again
    */
-  book (pool: string, perSecond: number, earliestMs: number): number {
+  scheduleAtRate (pool: string, perSecond: number, earliestMs: number): number {
     const nowMs = this.#opts.clock.nowMs()
     const spacingMs = perSecond > 0 ? MS_PER_SECOND * Math.max(1, this.#opts.boxCount()) / perSecond : MAX_DELAY_MS
     const lastAtMs = this.#lastRetryAtMs.get(pool) ?? Number.NEGATIVE_INFINITY
@@ -54,7 +54,7 @@
    *
    * @param pool the pool whose upstreams accept no requests until then
    */
-  bookAfter (pool: string, waitMs: number): number {
+  scheduleAfterWait (pool: string, waitMs: number): number {
     const nowMs = this.#opts.clock.nowMs()
     const known = this.#refusalIntervals.get(pool)
     const refusal = { startMs: known && nowMs < known.endMs ? known.startMs : nowMs, endMs: nowMs + waitMs }
--- a/upstream/limits/src/sendPermit.ts
+++ b/upstream/limits/src/sendPermit.ts
@@ -34,7 +34,7 @@
   }
 
   /** Called when the request is about to be sent. The permit is then used up. */
-  noteSent (): void {
+  recordSent (): void {
     this.#settled = true
   }
 
--- a/upstream/limits/src/sendPermits.ts
+++ b/upstream/limits/src/sendPermits.ts
@@ -6,7 +6,7 @@
 
 export interface SendPermitsOptions {
   clock: Clock
-  limits: UpstreamStates
+  states: UpstreamStates
   backoffs: Backoffs
   limiter: SharedLimiter
   metrics: Metrics
@@ -38,8 +38,8 @@
   }
 
   /** Requests a permit for one request. The permit may be refused. */
-  async take (upstream: string): Promise<SendPermit> {
-    const { clock, limits: states, backoffs, limiter, metrics } = this.#opts
+  async acquire (upstream: string): Promise<SendPermit> {
+    const { clock, states, backoffs, limiter, metrics } = this.#opts
     const backoffMs = backoffs.remainingMs(upstream)
     if (backoffMs > 0) return new SendPermit({ wait: { reason: WaitReason.Backoff, durationMs: backoffMs } })
     const perSecond = states.perSecond(upstream)
@@ -48,9 +48,9 @@
     const cachedRefusal = this.#refusals.get(upstream)
     if (cachedRefusal) return atLimit(cachedRefusal.availableAtMs - clock.nowMs())
     const permitCost = { name: upstream, cost: 1 }
-    const waitMs = await limiter.take(permitCost)
+    const waitMs = await limiter.acquire(permitCost)
     metrics.count('reelspan_limit_permits_total', { outcome: waitMs === 0 ? 'granted' : 'refused' })
-    if (waitMs === 0) return new SendPermit({ onUnused: () => limiter.giveBack(permitCost) })
+    if (waitMs === 0) return new SendPermit({ onUnused: () => limiter.release(permitCost) })
     const nowMs = clock.nowMs()
     this.#refusals.set(upstream, { perSecond, availableAtMs: nowMs + waitMs, recheckAtMs: nowMs + Math.min(waitMs, MAX_REFUSAL_CACHE_MS) })
     return atLimit(waitMs)
@@ -58,7 +58,7 @@
 
   /** Removes cached refusals that have expired or were made under a different limit. */
   #expireRefusals (): void {
-    const { clock, limits: states } = this.#opts
+    const { clock, states } = this.#opts
     const nowMs = clock.nowMs()
     const isExpired = ([upstream, { perSecond, recheckAtMs }]: [string, Refusal]) => nowMs >= recheckAtMs || states.perSecond(upstream) !== perSecond;
     [...this.#refusals].filter(isExpired).forEach(([upstream]) => this.#refusals.delete(upstream))
--- a/upstream/orders/src/index.ts
+++ b/upstream/orders/src/index.ts
@@ -1,7 +1,7 @@
 export { planOrders } from './planOrders.js'
 export type { OrderPlan, PlannedOrder, ReportedEngine, OrderScope } from './planOrders.js'
 export { fenceOf, FENCE_STEPS, uniqueFenceOf } from './fenceOf.js'
-export { OrderLease as OrderRight } from './orderLease.js'
+export { OrderLease } from './orderLease.js'
 export { OrderController } from './orderController.js'
 export { OrderOutcome } from './orderOutcome.js'
 export type { OrderControllerOptions } from './orderController.js'
--- a/upstream/orders/src/orderController.ts
+++ b/upstream/orders/src/orderController.ts
@@ -8,7 +8,7 @@
 export interface OrderControllerOptions {
   clock: Clock
   engines: EngineClient
-  right: OrderLease
+  lease: OrderLease
   configuration: () => Configuration
   orderTimeoutMs: number
   onOrder?: (order: PlannedOrder, outcome: OrderOutcome) => void
@@ -23,18 +23,18 @@
   }
 
   /** Plans orders from the newest reports and sends those that can be sent. Returns the plan. */
-  async pass (scope: OrderScope): Promise<OrderPlan> {
+  async reconcile (scope: OrderScope): Promise<OrderPlan> {
     const plan = planOrders(this.#opts.configuration(), scope)
     for (const order of plan.orders) await this.#send(order)
     return plan
   }
 
   async #send (planned: PlannedOrder): Promise<void> {
-    const { clock, engines, right: lease, configuration, orderTimeoutMs, onOrder } = this.#opts
+    const { clock, engines, lease, configuration, orderTimeoutMs, onOrder } = this.#opts
     const revision = configuration().revision
     // After a pause of the process, updates received meanwhile are processed before the lease is checked.
-    await clock.settle()
-    if (!lease.holds() || configuration().revision !== revision) {
+    await clock.awaitPendingInput()
+    if (!lease.isValid() || configuration().revision !== revision) {
       onOrder?.(planned, OrderOutcome.NotSent)
       return
     }
--- a/upstream/orders/src/orderLease.ts
+++ b/upstream/orders/src/orderLease.ts
@@ -1,13 +1,13 @@
-import { type Clock, type PauseWatch } from '@reelspan/core.env'
+import { type Clock, type PauseDetector } from '@reelspan/core.env'
 
 export interface OrderLeaseOptions {
   clock: Clock
   /** How long the lease is valid after the last contact. */
-  lifeMs: number
+  durationMs: number
   /** When this box last had contact with the platform or with most of the peers it monitors, by its own clock. */
   lastContactMs: () => number
   /** Detects pauses of this process. */
-  pauses: PauseWatch
+  pauses: PauseDetector
 }
 
 /** Shortest pause that matters, as a share of the lease duration: a paused box is suspected, and its shards are reassigned, after a second; a lease lasts three. */
@@ -33,26 +33,26 @@
   }
 
   /** Whether this box is the shard's scheduler, by its own view. */
-  get taken (): boolean {
+  get isAcquired (): boolean {
     return this.#acquiredAtMs !== undefined
   }
 
   /** Called when this box becomes the shard's scheduler. */
-  take (): void {
+  acquire (): void {
     this.#acquiredAtMs ??= this.#opts.clock.nowMs()
   }
 
   /** Called when this box is no longer the shard's scheduler. */
-  giveUp (): void {
+  release (): void {
     this.#acquiredAtMs = undefined
   }
 
   /** Whether an order may be sent now. */
-  holds (): boolean {
-    const { clock, lifeMs: durationMs, lastContactMs, pauses } = this.#opts
+  isValid (): boolean {
+    const { clock, durationMs, lastContactMs, pauses } = this.#opts
     const nowMs = clock.nowMs()
     if (this.#acquiredAtMs === undefined) return false
-    const heldFromMs = Math.max(this.#acquiredAtMs, pauses.wokeAtMs(MIN_PAUSE_SHARE * durationMs))
+    const heldFromMs = Math.max(this.#acquiredAtMs, pauses.resumedAtMs(MIN_PAUSE_SHARE * durationMs))
     const previousHasExpired = nowMs - heldFromMs >= 2 * durationMs
     return previousHasExpired && nowMs - lastContactMs() < durationMs
   }
