--- a/upstream/orders/src/roleBalancer.ts
+++ b/upstream/orders/src/roleBalancer.ts
@@ -20,7 +20,7 @@
 export interface RoleBalancerOptions {
   clock: Clock
   engines: EngineClient
-  right: OrderLease
+  lease: OrderLease
   /** The unique name of this box. */
   holder: string
   /** The order of the newest list that this box knows. It increases over all boxes and all eras of the platform's store. */
@@ -64,11 +64,11 @@
   }
 
   /** Whether an engine is changing its role and gets no new work. */
-  isMoving (engine: string): boolean {
+  isChangingRole (engine: string): boolean {
     return this.#moves.has(engine)
   }
 
-  async pass (engines: BalancedEngines, minimum: RoleCounts, load: RoleLoad | undefined): Promise<void> {
+  async reconcile (engines: BalancedEngines, minimum: RoleCounts, load: RoleLoad | undefined): Promise<void> {
     this.#removeEndedMoves(engines)
     const counts = { prefill: countPresent(engines.prefill), decode: countPresent(engines.decode) }
     this.#recordCounts(counts)
@@ -78,7 +78,7 @@
   }
 
   /** Called when the lease is lost: engines that have not received their order keep their role. */
-  standDown (): void {
+  cancelUnorderedMoves (): void {
     this.#moves.forEach(({ ordered }, engine) => {
       if (!ordered) this.#moves.delete(engine)
     })
@@ -127,14 +127,14 @@
   }
 
   async #send ({ name, address, report }: BalancedEngine): Promise<void> {
-    const { clock, engines, right: lease, holder, listOrder, orderTimeoutMs, onOrder } = this.#opts
+    const { clock, engines, lease, holder, listOrder, orderTimeoutMs, onOrder } = this.#opts
     const move = this.#moves.get(name)
     // After a pause of the process, updates received meanwhile are processed before the lease is checked.
-    await clock.settle()
+    await clock.awaitPendingInput()
     if (!move || move.ordered) return
     const ordersTaken = report?.ordersTaken ?? 0
     const order: EngineOrder = { kind: OrderKind.ChangeRole, role: otherRole(move.from), fence: uniqueFenceOf(listOrder(), ordersTaken, holder), instance: name, holder, ordersTaken: report?.ordersTaken }
-    if (!lease.holds()) {
+    if (!lease.isValid()) {
       this.#moves.delete(name)
       onOrder?.({ engine: name, address, order }, OrderOutcome.NotSent)
       return
--- a/upstream/orders/test/orders.ts
+++ b/upstream/orders/test/orders.ts
@@ -1,7 +1,7 @@
-import { type Clock, PauseWatch, TaskGroup } from '@reelspan/core.env'
+import { type Clock, PauseDetector, TaskGroup } from '@reelspan/core.env'
 import { checkResources, type DeclaredResource } from '@reelspan/config.resources'
 import { type EngineReport, EngineRole, HoldKind, OrderKind } from '@reelspan/upstream.client'
-import { fenceOf, FENCE_STEPS, OrderRight, type OrderScope, planOrders, type ReportedEngine } from '@reelspan/upstream.orders'
+import { fenceOf, FENCE_STEPS, OrderLease, type OrderScope, planOrders, type ReportedEngine } from '@reelspan/upstream.orders'
 import { NodeClock, VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
@@ -70,8 +70,8 @@
   t.is(fenceOf(5, fenceOf(4, 0)), 5 * FENCE_STEPS + 1)
 })
 
-function startPauseWatch (clock: Clock): PauseWatch {
-  const pauses = new PauseWatch({ clock })
+function startPauseWatch (clock: Clock): PauseDetector {
+  const pauses = new PauseDetector({ clock })
   pauses.start(new TaskGroup(clock))
   return pauses
 }
@@ -79,40 +79,40 @@
 test('after a pause a box waits for the lease of a possible successor to expire before it gives an order', async (t) => {
   const shared = new VirtualClock()
   const clock = new NodeClock(shared)
-  const lease = new OrderRight({ clock, lifeMs: 1000, lastContactMs: () => clock.nowMs(), pauses: startPauseWatch(clock) })
-  lease.take()
+  const lease = new OrderLease({ clock, durationMs: 1000, lastContactMs: () => clock.nowMs(), pauses: startPauseWatch(clock) })
+  lease.acquire()
   await shared.advance(2000)
-  t.true(lease.holds())
+  t.true(lease.isValid())
   clock.pause()
   await shared.advance(250)
   clock.resume()
-  t.true(lease.holds(), 'the pause is too short for another box to take over')
+  t.true(lease.isValid(), 'the pause is too short for another box to take over')
   await shared.advance(500)
   clock.pause()
   await shared.advance(1500)
   clock.resume()
-  t.false(lease.holds())
+  t.false(lease.isValid())
   await shared.advance(1900)
-  t.false(lease.holds())
+  t.false(lease.isValid())
   await shared.advance(200)
-  t.true(lease.holds())
+  t.true(lease.isValid())
 })
 
 test('the lease expires without contact, and a new holder waits for the previous one to expire', async (t) => {
   const shared = new VirtualClock()
   const clock = new NodeClock(shared)
   let contactMs = clock.nowMs()
-  const lease = new OrderRight({ clock, lifeMs: 1000, lastContactMs: () => contactMs, pauses: startPauseWatch(clock) })
-  t.false(lease.holds())
-  lease.take()
+  const lease = new OrderLease({ clock, durationMs: 1000, lastContactMs: () => contactMs, pauses: startPauseWatch(clock) })
+  t.false(lease.isValid())
+  lease.acquire()
   contactMs = clock.nowMs()
-  t.false(lease.holds(), 'the previous holder may still have the lease')
+  t.false(lease.isValid(), 'the previous holder may still have the lease')
   await shared.advance(2000)
   contactMs = clock.nowMs()
-  t.true(lease.holds())
+  t.true(lease.isValid())
   await shared.advance(1000)
-  t.false(lease.holds())
-  lease.giveUp()
+  t.false(lease.isValid())
+  lease.release()
   contactMs = clock.nowMs()
-  t.false(lease.holds())
+  t.false(lease.isValid())
 })
--- a/upstream/orders/test/roleBalancer.ts
+++ b/upstream/orders/test/roleBalancer.ts
@@ -1,7 +1,7 @@
-import { orderOf } from '@reelspan/config.store'
-import { PauseWatch, TaskGroup } from '@reelspan/core.env'
+import { orderedRevisionOf } from '@reelspan/config.store'
+import { PauseDetector, TaskGroup } from '@reelspan/core.env'
 import { type CacheEventPage, type DecodeEvent, EngineClient, type EngineOrder, type EngineReport, EngineRole, type PrefillResult, UpstreamError } from '@reelspan/upstream.client'
-import { type BalancedEngine, OrderOutcome, OrderRight, RoleBalancer, type RoleLoad, RolePlanOutcome, uniqueFenceOf } from '@reelspan/upstream.orders'
+import { type BalancedEngine, OrderOutcome, OrderLease, RoleBalancer, type RoleLoad, RolePlanOutcome, uniqueFenceOf } from '@reelspan/upstream.orders'
 import { NodeClock, VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
@@ -42,16 +42,16 @@
   const shared = new VirtualClock()
   const clock = new NodeClock(shared)
   const contact = { lost: false }
-  const pauses = new PauseWatch({ clock })
+  const pauses = new PauseDetector({ clock })
   pauses.start(new TaskGroup(clock))
-  const lease = new OrderRight({ clock, lifeMs: 1000, lastContactMs: () => contact.lost ? 0 : clock.nowMs(), pauses })
-  lease.take()
+  const lease = new OrderLease({ clock, durationMs: 1000, lastContactMs: () => contact.lost ? 0 : clock.nowMs(), pauses })
+  lease.acquire()
   await shared.advance(10_000)
   const engines = new RecordingEngineClient()
   const outcomes: OrderOutcome[] = []
-  const balancer = new RoleBalancer({ clock, engines, right: lease, holder: 'box-1', listOrder: () => 7, orderTimeoutMs: 1000, onOrder: (_order, outcome) => outcomes.push(outcome) })
+  const balancer = new RoleBalancer({ clock, engines, lease, holder: 'box-1', listOrder: () => 7, orderTimeoutMs: 1000, onOrder: (_order, outcome) => outcomes.push(outcome) })
   const pass = async (fleet: ReturnType<typeof fleetOf>, load: RoleLoad | null = LOAD) => {
-    await shared.run(balancer.pass(fleet, LEAST, load ?? undefined))
+    await shared.run(balancer.reconcile(fleet, LEAST, load ?? undefined))
     await shared.advance(1000)
   }
   return { balancer, engines, outcomes, pass, contact, clock: shared }
@@ -90,7 +90,7 @@
   const busy = { ...THREE, prefill: THREE.prefill.map((engine) => ({ ...engine, reservations: 1 })) }
   await pass(busy)
   await pass(busy)
-  const moving = THREE.prefill.filter(({ name }) => balancer.isMoving(name))
+  const moving = THREE.prefill.filter(({ name }) => balancer.isChangingRole(name))
   t.is(moving.length, 1)
   t.deepEqual(engines.orders, [])
   await pass(THREE)
@@ -112,7 +112,7 @@
   const left = ['p1', 'p2', 'p3'].filter((name) => name !== moved)
   const after = fleetOf(left, ['d1', 'd2', 'd3', moved])
   await pass(after)
-  t.false(balancer.isMoving(moved))
+  t.false(balancer.isChangingRole(moved))
   for (let i = 0; i < 30; i++) await pass(after)
   t.is(engines.orders.length, 1, 'the split is balanced')
 })
@@ -122,7 +122,7 @@
   engines.failure = new UpstreamError('another order is under way', { mayHaveRun: false, refused: true })
   for (let i = 0; i < 8; i++) await pass(THREE)
   t.deepEqual(outcomes, [OrderOutcome.Refused])
-  t.false(THREE.prefill.some(({ name }) => balancer.isMoving(name)))
+  t.false(THREE.prefill.some(({ name }) => balancer.isChangingRole(name)))
 })
 
 test('an unanswered order may have been accepted, so the engine gets no work until its reports show the outcome', async (t) => {
@@ -130,7 +130,7 @@
   engines.failure = new UpstreamError('no answer', { mayHaveRun: true, unreachable: true })
   for (let i = 0; i < 4; i++) await pass(THREE)
   t.deepEqual(outcomes, [OrderOutcome.NotAnswered])
-  t.true(balancer.isMoving(engines.orders[0].instance as string))
+  t.true(balancer.isChangingRole(engines.orders[0].instance as string))
 })
 
 test('without a lease no order is sent, and chosen engines get work again', async (t) => {
@@ -142,15 +142,15 @@
   await pass(THREE)
   t.deepEqual(engines.orders, [])
   t.deepEqual(outcomes, [OrderOutcome.NotSent])
-  t.false(THREE.prefill.some(({ name }) => balancer.isMoving(name)))
+  t.false(THREE.prefill.some(({ name }) => balancer.isChangingRole(name)))
 })
 
 test('when the lease is lost, only engines without an order get work again', async (t) => {
   const { balancer, engines, pass } = await createBalancer()
   await pass(THREE)
   await pass(THREE)
-  balancer.standDown()
-  t.true(balancer.isMoving(engines.orders[0].instance as string))
+  balancer.cancelUnorderedMoves()
+  t.true(balancer.isChangingRole(engines.orders[0].instance as string))
 })
 
 test('an engine that never changes its role gets work again after a timeout', async (t) => {
@@ -158,7 +158,7 @@
   for (let i = 0; i < 2; i++) await pass(THREE)
   const first = engines.orders[0].instance as string
   for (let i = 0; i < 30; i++) await pass(THREE, { ...LOAD, arrivalsPerMs: 0.001 })
-  t.false(balancer.isMoving(first))
+  t.false(balancer.isChangingRole(first))
 })
 
 test('zones with a surplus of engines of the role are chosen first', async (t) => {
@@ -180,14 +180,14 @@
 })
 
 test('an order given after the platform\'s store was restored from a copy is not rejected because of earlier fencing tokens', (t) => {
-  const before = [1, 2 ** 24, 2 ** 31].map((revision) => uniqueFenceOf(orderOf({ era: 0, revision }), 255, 'box-2'))
-  const after = [1, 2, 127].map((era) => uniqueFenceOf(orderOf({ era, revision: 1 }), 0, 'box-1'))
+  const before = [1, 2 ** 24, 2 ** 31].map((revision) => uniqueFenceOf(orderedRevisionOf({ era: 0, revision }), 255, 'box-2'))
+  const after = [1, 2, 127].map((era) => uniqueFenceOf(orderedRevisionOf({ era, revision: 1 }), 0, 'box-1'))
   const all = [...before, ...after]
   t.deepEqual(all, all.toSorted((a, b) => a - b))
   t.is(new Set(all).size, all.length)
-  t.true(uniqueFenceOf(orderOf({ era: 8191, revision: 2 ** 39 }), 255, 'box-1') < 2 ** 63)
-  t.true(uniqueFenceOf(orderOf({ era: 1, revision: 8 }), 0, 'box-1') > uniqueFenceOf(orderOf({ era: 1, revision: 7 }), 200, 'box-2'))
-  t.not(uniqueFenceOf(orderOf({ era: 1, revision: 7 }), 4, 'box-1'), uniqueFenceOf(orderOf({ era: 1, revision: 7 }), 4, 'box-2'))
+  t.true(uniqueFenceOf(orderedRevisionOf({ era: 8191, revision: 2 ** 39 }), 255, 'box-1') < 2 ** 63)
+  t.true(uniqueFenceOf(orderedRevisionOf({ era: 1, revision: 8 }), 0, 'box-1') > uniqueFenceOf(orderedRevisionOf({ era: 1, revision: 7 }), 200, 'box-2'))
+  t.not(uniqueFenceOf(orderedRevisionOf({ era: 1, revision: 7 }), 4, 'box-1'), uniqueFenceOf(orderedRevisionOf({ era: 1, revision: 7 }), 4, 'box-2'))
 })
 
 test('an engine that restarts during a role change gets work again, and receives no order meant for its previous start', async (t) => {
@@ -195,10 +195,10 @@
   const busy = { ...THREE, prefill: THREE.prefill.map((engine) => ({ ...engine, reservations: 1 })) }
   await pass(busy)
   await pass(busy)
-  const [chosen] = ['p1', 'p2', 'p3'].filter((name) => balancer.isMoving(name))
+  const [chosen] = ['p1', 'p2', 'p3'].filter((name) => balancer.isChangingRole(name))
   const restarted = { ...THREE, prefill: THREE.prefill.map((engine) => engine.name === chosen ? { ...engine, name: `${chosen}@200` } : engine) }
   await pass(restarted, { ...LOAD, arrivalsPerMs: 0.001 })
-  t.false(balancer.isMoving(chosen))
-  t.false(balancer.isMoving(`${chosen}@200`))
+  t.false(balancer.isChangingRole(chosen))
+  t.false(balancer.isChangingRole(`${chosen}@200`))
   t.deepEqual(engines.orders, [])
 })
--- a/upstream/signals/src/upstreamStateMessages.ts
+++ b/upstream/signals/src/upstreamStateMessages.ts
@@ -1,9 +1,9 @@
 import { type UpstreamStateUpdate, MessageType, type PeerMessage } from '@reelspan/core.messages'
-import { NewsMessages } from '@reelspan/membership.prober'
+import { UpdateMessages } from '@reelspan/membership.prober'
 
 /** Messages that replicate the advertised states of upstreams between boxes. */
-export class UpstreamStateMessages extends NewsMessages<UpstreamStateUpdate> {
-  tell (updates: readonly UpstreamStateUpdate[]): PeerMessage {
+export class UpstreamStateMessages extends UpdateMessages<UpstreamStateUpdate> {
+  announce (updates: readonly UpstreamStateUpdate[]): PeerMessage {
     return { type: MessageType.UpstreamStatesTell, updates: [...updates] }
   }
 
@@ -12,7 +12,7 @@
     return { type: MessageType.UpstreamStatesPull, updates: [...known] }
   }
 
-  contentOf (answer: PeerMessage): readonly UpstreamStateUpdate[] | undefined {
+  updatesOf (answer: PeerMessage): readonly UpstreamStateUpdate[] | undefined {
     return answer.type === MessageType.UpstreamStatesContent ? answer.updates : undefined
   }
 }
--- a/upstream/signals/src/upstreamStates.ts
+++ b/upstream/signals/src/upstreamStates.ts
@@ -1,7 +1,7 @@
 import { type Clock } from '@reelspan/core.env'
 import { hash32 } from '@reelspan/core.hashing'
 import { type UpstreamStateUpdate } from '@reelspan/core.messages'
-import { NewsBook, TellRate } from '@reelspan/membership.prober'
+import { UpdateStore, AnnouncementLimiter } from '@reelspan/membership.prober'
 import { type Log, LogEvent } from '@reelspan/telemetry.log'
 import { type UpstreamSignals } from '@reelspan/upstream.client'
 
@@ -37,11 +37,11 @@
  * States that upstreams advertise in their responses, as observed by any box. A state belongs to one
  * incarnation of an upstream. The latest observation of a limit wins.
  */
-export class UpstreamStates extends NewsBook<UpstreamStateUpdate> {
+export class UpstreamStates extends UpdateStore<UpstreamStateUpdate> {
   readonly #opts: UpstreamStatesOptions
   readonly #states = new Map<string, AdvertisedState>()
   /** Limits broadcasts, since some upstreams advertise a different limit in each response. */
-  readonly #broadcastRate = new TellRate()
+  readonly #broadcastRate = new AnnouncementLimiter()
   #digest = 0
   #drainingRevision = 0
 
@@ -102,7 +102,7 @@
     if (!limit && draining === this.isDraining(upstream)) return
     const changed = this.#update(upstream, { ...limit ?? this.#knownLimit(upstream), draining })
     const update = this.updateOf(upstream)
-    if (changed && update && this.mayTell(update)) this.#opts.onChanged?.(update)
+    if (changed && update && this.mayForward(update)) this.#opts.onChanged?.(update)
   }
 
   /** Records the observation of another box. Returns whether it changed the state. */
@@ -121,8 +121,8 @@
   }
 
   /** Whether an update may be broadcast now. Updates that are not are exchanged when digests differ. */
-  mayTell ({ upstream }: UpstreamStateUpdate): boolean {
-    return this.#broadcastRate.take(upstream, this.#opts.clock.nowMs())
+  mayForward ({ upstream }: UpstreamStateUpdate): boolean {
+    return this.#broadcastRate.tryAcquire(upstream, this.#opts.clock.nowMs())
   }
 
   expire (): void {
--- a/upstream/signals/test/upstreamStates.ts
+++ b/upstream/signals/test/upstreamStates.ts
@@ -1,12 +1,12 @@
 import { LogEvent } from '@reelspan/telemetry.log'
 import { UpstreamStates } from '@reelspan/upstream.signals'
-import { SilentLog } from '@reelspan/utils.fake-fleet'
+import { RecordingLog } from '@reelspan/utils.fake-fleet'
 import { VirtualClock } from '@reelspan/utils.fakes'
 import test from 'ava'
 
 function create () {
   const clock = new VirtualClock()
-  const log = new SilentLog()
+  const log = new RecordingLog()
   const listed = new Set(['a'])
   return { clock, log, states: new UpstreamStates({ clock, log, isListed: (name) => listed.has(name) }) }
 }
