--- a/net/upstream-probe/src/tcpUpstreamProbe.ts
+++ b/net/upstream-probe/src/tcpUpstreamProbe.ts
@@ -7,11 +7,11 @@
   clock: Clock
 }
 
-/** Upstreams are some milliseconds away. One that takes longer is taken for silent, which decides nothing. */
+/** The round trip to an upstream takes a few milliseconds. A timeout counts as unresponsive, from which callers conclude nothing. */
 const TIMEOUT_MS = 300
-const REFUSED = 'ECONNREFUSED'
+const CONNECTION_REFUSED_CODE = 'ECONNREFUSED'
 
-/** Opens a connection, and closes it without having sent anything. */
+/** Probes an upstream by opening a TCP connection, which is closed without sending data. */
 export class TcpUpstreamProbe extends UpstreamProbe {
   readonly #opts: TcpUpstreamProbeOptions
 
@@ -22,13 +22,13 @@
 
   async probe (address: string): Promise<UpstreamProbeResult> {
     const socket = connect(splitAddress(address))
-    const presence = new Promise<UpstreamProbeResult>((resolve) => {
+    const connectionResult = new Promise<UpstreamProbeResult>((resolve) => {
       socket.once('connect', () => resolve(UpstreamProbeResult.Listening))
-      // A reset is not a refusal: upstreams reset connections that they have no room for.
-      socket.once('error', ({ code }: NodeJS.ErrnoException) => resolve(code === REFUSED ? UpstreamProbeResult.Refused : UpstreamProbeResult.Unresponsive))
+      // A reset does not count as refused: overloaded upstreams reset connections that they cannot accept.
+      socket.once('error', ({ code }: NodeJS.ErrnoException) => resolve(code === CONNECTION_REFUSED_CODE ? UpstreamProbeResult.Refused : UpstreamProbeResult.Unresponsive))
     })
-    const seen = await raceTimeout(this.#opts.clock, presence, TIMEOUT_MS)
+    const result = await raceTimeout(this.#opts.clock, connectionResult, TIMEOUT_MS)
     socket.destroy()
-    return seen === TimedOut ? UpstreamProbeResult.Unresponsive : seen
+    return result === TimedOut ? UpstreamProbeResult.Unresponsive : result
   }
 }
--- a/net/upstream-probe/test/tcpUpstreamProbe.ts
+++ b/net/upstream-probe/test/tcpUpstreamProbe.ts
@@ -5,7 +5,7 @@
 import { UpstreamProbeResult } from '@reelspan/upstream.client'
 import test from 'ava'
 
-test('an upstream that listens and one whose process has ended are told apart', async (t) => {
+test('reports an upstream as listening, and as refused after its process has exited', async (t) => {
   const probe = new TcpUpstreamProbe({ clock: new SystemClock() })
   const server = createServer().listen(0, '127.0.0.1')
   await once(server, 'listening')
