--- a/deploy/bundle.mjs
+++ b/deploy/bundle.mjs
@@ -1,12 +1,12 @@
-// Bundles the box program from its sources into target/: a few files, of which a
-// start reads only those that it needs.
+// Bundles the box program from its sources into target/. The output is split into a few
+// files, so that the program loads at startup only the files that it needs.
 import { existsSync, realpathSync } from 'node:fs'
 import { join } from 'node:path'
 import { build } from 'esbuild'
 
 const ROOT = join(import.meta.dirname, '..')
 
-// The workspace's packages are taken from their sources, so that nothing needs to be compiled before.
+// Resolves workspace packages to their TypeScript sources, so that no build has to run first.
 const workspaceSources = {
   name: 'workspace-sources',
   setup ({ onResolve }) {
@@ -18,20 +18,20 @@
   },
 }
 
-// Parts of libraries that nothing here uses, and that cost each start their reading.
+// Replaces unused parts of libraries with stubs, since loading them slows down every startup.
 const unusedParts = {
   name: 'unused-parts',
   setup ({ onLoad }) {
-    // Error texts in other languages.
+    // Error messages in languages other than English.
     onLoad({ filter: /zod\/v4\/locales\/index\.js$/ }, () => ({ contents: "export { default as en } from './en.js'" }))
-    // Looking for modules in folders, and packing histograms.
+    // Module discovery by file patterns, and compression of histograms.
     onLoad({ filter: /node_modules\/(fast-glob|pako)\// }, () => ({ contents: 'module.exports = {}' }))
-    // Writing histograms to a log, which makes a formatter of numbers when it is loaded: 25 of the 110 ms that the program's own modules take (sampled profile of a start).
+    // Histogram log output. It creates a number formatter when it is loaded, which takes 25 of the 110 ms of loading the program's own modules in a sampled startup profile.
     onLoad({ filter: /hdr-histogram-js\/dist\/HistogramLogWriter\.js$/ }, () => ({ contents: 'module.exports = {}' }))
   },
 }
 
-// CommonJS libraries inside an ES module need these.
+// Defines the CommonJS globals that bundled CommonJS libraries use, since an ES module has none.
 const COMMONJS_NAMES = `
 import { createRequire as __createRequire } from 'node:module'
 import { fileURLToPath as __fileURLToPath } from 'node:url'
@@ -51,7 +51,7 @@
   target: 'node20',
   format: 'esm',
   minify: true,
-  // Optional parts of libraries that are not used.
+  // Optional dependencies of libraries, which are not used.
   external: ['dtrace-provider', 'bufferutil', 'utf-8-validate', 'mv', 'safe-json-stringify', 'moment', 'source-map-support', 'msgpackr-extract'],
   banner: { js: COMMONJS_NAMES },
 })
