--- a/.ci/verdict.mjs
+++ b/.ci/verdict.mjs
@@ -1,4 +1,4 @@
-// Reads a TAP report, lets known red tests pass, and prints the count that ends a run.
+// Reads a TAP report, tolerates failures of the tests listed as known red, and prints the numbers of passed and failed tests last.
 import { existsSync, readFileSync } from 'node:fs'
 
 const [reportFile, knownRedFile] = process.argv.slice(2)
@@ -20,7 +20,7 @@
 
 if (unexpected.length > 0 || passed.length === 0) console.log(report)
 excused.forEach((title) => console.log(`known red: ${title}`))
-mended.forEach((title) => console.log(`listed in ${knownRedFile} but passes, take it out: ${title}`))
+mended.forEach((title) => console.log(`listed in ${knownRedFile} but passes; remove it from the list: ${title}`))
 
 const ok = unexpected.length === 0 && passed.length > 0 && skipped.length === 0 && knownRed.length <= MAX_KNOWN_RED && mended.length === 0
 console.log(`${passed.length} passed, ${failed.length - excused.length} failed`)
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,15 +1,15 @@
 import neostandard from 'neostandard'
 
-// Packages that touch the outside world. Everything else is decision code: it
-// gets its clock, randomness and network handed in, so that any harness can
-// drive it with time and network of its own.
+// Packages that may use the clock, randomness, network and file system of the process.
+// All other packages contain decision code, which gets its clock, randomness and network
+// injected, so that a test harness can run it with simulated time and a simulated network.
 const OUTSIDE_PACKAGES = ['net/**', 'cli/**', 'platform/**', 'telemetry/log/**', '__utils__/fakes/src/virtualClock.ts', '__utils__/stand-ins/**', '__utils__/platform-stand-ins/**', '__utils__/soak/**', '__utils__/bench/**', '**/test/**']
 
-// The platform's names are decoded once, in platform/; the stand-ins for it speak them too.
+// The platform's field and header names are translated in platform/ only. Its stand-ins use them as well.
 const PLATFORM_NAMES = 'x-reelspan-|kv_|token_kv|path_prefix|private_key|store_revision|target_latency|max_attempts|allow_resume|traffic_split|fencing_token|ttl_s|X-Reelspan-'
-const PLATFORM_MESSAGE = 'The platform\'s names stay in platform/.'
+const PLATFORM_MESSAGE = 'Names of the platform\'s protocol may be used only in platform/.'
 
-const MESSAGE = 'Decision packages take clock, randomness and network from @reelspan/core.env.'
+const MESSAGE = 'Decision packages must get clock, randomness and network from @reelspan/core.env.'
 
 export default [
   ...neostandard({ ts: true, ignores: ['**/lib/**', '**/test.lib/**', 'target/**'] }),
