--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -214,7 +214,7 @@
     tests: [AT_MOST_ONCE],
   },
   {
-    name: 'the reported execution status reflects whether the request was sent',
+    name: 'the verdict on a failed run reflects whether the request was sent',
     file: 'request/owner/src/runContext.ts',
     find: 'this.#mayHaveRun = true',
     replace: 'this.#mayHaveRun = false',
