--- a/__utils__/bench/src/mechanisms.ts
+++ b/__utils__/bench/src/mechanisms.ts
@@ -8,10 +8,10 @@
   tests: string[]
 }
 
-const RESERVATIONS = 'box/runtime/test.lib/holds.js'
+const HOLDS = 'box/runtime/test.lib/holds.js'
 const AT_MOST_ONCE = 'box/runtime/test.lib/notRepeatableRequests.js'
 const CALLER_DISCONNECTS = 'request/relay/test.lib/callerDisconnects.js'
-const RESPONSE_INTEGRITY = 'box/runtime/test.lib/answerIntegrity.js'
+const ANSWER_INTEGRITY = 'box/runtime/test.lib/answerIntegrity.js'
 const CONFIGURATION = 'box/runtime/test.lib/configuration.js'
 const PLANNED_STOP = 'box/runtime/test.lib/plannedStopAndDraining.js'
 const ORDERS = 'box/runtime/test.lib/orders.js'
@@ -183,14 +183,14 @@
     file: 'request/owner/src/completionRun.ts',
     find: 'if (!finished) this.#releaseEngines(label, plan)',
     replace: 'if (label === undefined) this.#releaseEngines(label, plan)',
-    tests: [RESERVATIONS],
+    tests: [HOLDS],
   },
   {
     name: 'the scheduler sweeps reservations that no owner confirms',
     file: 'box/runtime/src/shardManager.ts',
     find: 'this.#tasks.run(() => this.#opts.sweeper.sweep(engine, report.holds))',
     replace: '',
-    tests: [RESERVATIONS],
+    tests: [HOLDS],
   },
   {
     name: 'a request key is run only by the incarnation that it names',
@@ -267,14 +267,14 @@
     file: 'request/owner/src/completionRun.ts',
     find: 'if (!isSameHolder(event.label, label)) throw',
     replace: 'if (event.label === undefined) throw',
-    tests: [RESPONSE_INTEGRITY],
+    tests: [ANSWER_INTEGRITY],
   },
   {
     name: 'a duplicate token is dropped',
     file: 'request/owner/src/completionRun.ts',
     find: 'if (index < this.#generated.length) return',
     replace: '',
-    tests: [RESPONSE_INTEGRITY],
+    tests: [ANSWER_INTEGRITY],
   },
   {
     name: 'only a higher revision is adopted',
--- a/__utils__/fakes/src/index.ts
+++ b/__utils__/fakes/src/index.ts
@@ -6,7 +6,7 @@
 export { expectedAnswer, promptFor } from './answerText.js'
 export { ServiceModel } from './serviceModel.js'
 export { PlatformModel } from './platformModel.js'
-export type { PlatformSnapshot, PublishedEntry } from './platformModel.js'
+export type { PlatformBackup, PublishedEntry } from './platformModel.js'
 export { FakeNetwork } from './fakeNetwork.js'
 export { FakeEngineClient, FakeServiceClient, FakePlatformReader, FakeUpstreamProbe } from './fakeClients.js'
 export { publishFleet, sampleDeclarations, sampleFleet } from './deployments.js'
--- a/__utils__/fakes/src/platformModel.ts
+++ b/__utils__/fakes/src/platformModel.ts
@@ -3,14 +3,14 @@
 import { ErrorCode, ReelspanError } from '@reelspan/core.error'
 import { Collection } from '@reelspan/core.messages'
 
-interface CollectionSnapshot {
+interface CollectionState {
   revision: number
   atMs: number
   entries: Map<string, ContentChange>
 }
 
 /** State of the platform that it can be restored to. */
-export type PlatformSnapshot = Record<Collection, CollectionSnapshot>
+export type PlatformBackup = Record<Collection, CollectionState>
 
 /** A published entry. A spec of null deletes it. */
 export type PublishedEntry = Pick<ContentChange, 'kind' | 'name' | 'spec'>
@@ -32,7 +32,7 @@
   callsPerSecond = 2000
   readonly #clock: Clock
   readonly #changed = new Notifier()
-  readonly #history: Record<Collection, CollectionSnapshot[]>
+  readonly #history: Record<Collection, CollectionState[]>
   #recentCalls: number[] = []
   #era = 0
   /** Version of the declarations. Operators never reuse one, even after the platform was restored. */
@@ -59,19 +59,19 @@
     return revision
   }
 
-  /** Takes a snapshot of the current state. */
-  snapshot (): PlatformSnapshot {
+  /** Takes a backup of the current state. */
+  backup (): PlatformBackup {
     return { [Collection.Declarations]: this.#latest(Collection.Declarations), [Collection.Fleet]: this.#latest(Collection.Fleet) }
   }
 
-  /** Restores a snapshot and starts a new era. Revisions of the fleet are assigned again, versions of the declarations are not. */
-  restore (copy: PlatformSnapshot): void {
+  /** Restores a backup and starts a new era. Revisions of the fleet are assigned again, versions of the declarations are not. */
+  restore (backup: PlatformBackup): void {
     const atMs = this.#clock.nowMs()
-    const fleet = copy[Collection.Fleet]
+    const fleet = backup[Collection.Fleet]
     const revision = orderedRevisionOf({ era: ++this.#era, revision: storeRevisionOf(fleet.revision).revision })
     const live = [...fleet.entries].filter(([, { spec }]) => spec !== null)
     this.#history[Collection.Fleet].push({ atMs, revision, entries: new Map(live.map(([id, entry]) => [id, { ...entry, revision }])) })
-    this.#history[Collection.Declarations].push({ ...copy[Collection.Declarations], atMs })
+    this.#history[Collection.Declarations].push({ ...backup[Collection.Declarations], atMs })
     this.#changed.notify()
   }
 
@@ -104,17 +104,17 @@
     return this.staleMs + (collection === Collection.Fleet ? this.fleetLagMs : 0)
   }
 
-  #latest (collection: Collection): CollectionSnapshot {
-    return this.#history[collection].at(-1) as CollectionSnapshot
+  #latest (collection: Collection): CollectionState {
+    return this.#history[collection].at(-1) as CollectionState
   }
 
-  #visible (collection: Collection): CollectionSnapshot {
+  #visible (collection: Collection): CollectionState {
     const untilMs = this.#clock.nowMs() - this.#lagOf(collection)
-    return this.#history[collection].findLast(({ atMs }) => atMs <= untilMs) as CollectionSnapshot
+    return this.#history[collection].findLast(({ atMs }) => atMs <= untilMs) as CollectionState
   }
 }
 
-function contentOf ({ revision, entries }: CollectionSnapshot, sinceRevision: number): RevisionedContent {
+function contentOf ({ revision, entries }: CollectionState, sinceRevision: number): RevisionedContent {
   const changes = [...entries.values()]
   return sinceRevision === 0 || storeRevisionOf(revision).era !== storeRevisionOf(sinceRevision).era
     ? { revision, full: true, changes: changes.filter(({ spec }) => spec !== null) }
--- a/__utils__/platform-stand-ins/src/standInStore.ts
+++ b/__utils__/platform-stand-ins/src/standInStore.ts
@@ -13,13 +13,13 @@
 }
 
 /** State of a store that it can be restored to. */
-export interface StoreSnapshot {
+export interface StoreBackup {
   items: ReadonlyMap<string, Item>
   revision: number
   history: readonly Change[]
 }
 
-/** A small stand-in for the platform's store, with paged reads, watches, history compaction and restorable snapshots. */
+/** A small stand-in for the platform's store, with paged reads, watches, history compaction and restorable backups. */
 export class StandInStore {
   readonly #items = new Map<string, Item>()
   /** State that reads are answered from while they are stale. */
@@ -38,7 +38,7 @@
   /** Delay of each response. */
   delayMs = 0
   itemsPerPage = 2
-  /** Number of restores from a snapshot, sent as a header. Responses have no such header while it is undefined. */
+  /** Number of restores from a backup, sent as a header. Responses have no such header while it is undefined. */
   era?: number
   /** Whether all watches are rejected as if their history was compacted. */
   rejectWatches = false
@@ -98,13 +98,13 @@
     [...this.#waitingWatches].forEach((wake) => wake())
   }
 
-  /** Takes a snapshot of the current state. */
-  snapshot (): StoreSnapshot {
+  /** Takes a backup of the current state. */
+  backup (): StoreBackup {
     return { items: new Map(this.#items), revision: this.#revision, history: [...this.#history] }
   }
 
-  /** Restores a snapshot: later writes are lost, their revisions are assigned again, and connections are closed. */
-  restore ({ items, revision, history }: StoreSnapshot, { closes: closeConnections = true } = {}): void {
+  /** Restores a backup: later writes are lost, their revisions are assigned again, and connections are closed. */
+  restore ({ items, revision, history }: StoreBackup, { closes: closeConnections = true } = {}): void {
     this.#items.clear()
     items.forEach((item, key) => this.#items.set(key, item))
     this.#revision = revision
--- a/__utils__/soak/src/checkBounds.ts
+++ b/__utils__/soak/src/checkBounds.ts
@@ -48,7 +48,7 @@
 }
 
 /** Violations, and the number of cases that each check examined. */
-export interface CheckResult {
+export interface SoakCheckResult {
   violations: string[]
   checkCounts: Record<string, number>
 }
@@ -74,7 +74,7 @@
 const OK = 200
 
 /** Checks all guarantees that have a time bound, for boxes that were undisrupted. Shares no code with the product. */
-export function checkBounds (history: CheckedHistory): CheckResult {
+export function checkBounds (history: CheckedHistory): SoakCheckResult {
   const checks = { leaving: checkDepartures(history), gone: checkAbortedRequests(history), cut: checkInterruptedRequests(history), configuration: checkConfigurations(history), reverts: checkReverts(history) }
   return {
     violations: Object.values(checks).flatMap((findings) => findings.filter((violation) => violation !== undefined)),
--- a/__utils__/soak/src/checkSignals.ts
+++ b/__utils__/soak/src/checkSignals.ts
@@ -1,5 +1,5 @@
 import { type UpstreamArrival } from '@reelspan/utils.platform-stand-ins'
-import { type CheckedHistory, type CheckResult } from './checkBounds.js'
+import { type CheckedHistory, type SoakCheckResult } from './checkBounds.js'
 import { groupBy } from './groupBy.js'
 
 /** A period in which an upstream refuses all requests and asks boxes to wait. */
@@ -11,13 +11,13 @@
 }
 
 /** An upstream instance that advertises draining in its responses from this time on. */
-export interface AdvertisedDraining {
+export interface DrainingStart {
   instance: string
   fromMs: number
 }
 
 export interface SignalHistory extends Pick<CheckedHistory, 'attempts' | 'arrivals' | 'isUndisrupted'> {
-  draining: readonly AdvertisedDraining[]
+  draining: readonly DrainingStart[]
   refusals: readonly RefusalPeriod[]
 }
 
@@ -31,7 +31,7 @@
 type Findings = (string | undefined)[]
 
 /** Checks that boxes respect the draining and backoff that upstreams advertise. Shares no code with the product. */
-export function checkSignals (history: SignalHistory): CheckResult {
+export function checkSignals (history: SignalHistory): SoakCheckResult {
   const checks = { draining: checkDraining(history), backoff: checkBackoff(history) }
   return {
     violations: Object.values(checks).flatMap((findings) => findings.filter((violation) => violation !== undefined)),
--- a/__utils__/soak/src/faults.ts
+++ b/__utils__/soak/src/faults.ts
@@ -270,7 +270,7 @@
     const { fleet, fleet: { store } } = this.#opts
     this.#record(`the store is restored from a backup after an outage of ${outageMs} ms`)
     await this.#withDisruption(ALL_SUBJECTS, async () => {
-      const copy = store.snapshot()
+      const backup = store.backup()
       for (let i = 0; i < LOST_PUBLICATIONS; i++) fleet.publish()
       await this.#withUnused(fleet.replicas, async (replica) => {
         await fleet.stopUpstream(replica)
@@ -281,7 +281,7 @@
       await sleep(outageMs)
       const staleInterval = { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY }
       fleet.staleReads.push(staleInterval)
-      store.restore(copy)
+      store.restore(backup)
       store.unresponsive = false
       await sleep(PROPAGATION_MS)
       fleet.rewriteLostEntries()
--- a/__utils__/soak/src/soakFleet.ts
+++ b/__utils__/soak/src/soakFleet.ts
@@ -10,7 +10,7 @@
 import { REVOCATION_BOUND_MS } from './checkKeys.js'
 import { type Departure, type PlannedStop, type Publication } from './checkBounds.js'
 import { type LimitPeriod } from './checkLimits.js'
-import { type AdvertisedDraining, type RefusalPeriod } from './checkSignals.js'
+import { type DrainingStart, type RefusalPeriod } from './checkSignals.js'
 import { FaultProxy } from './faultProxy.js'
 import { DisruptionKind, DisruptionLog } from './disruptionLog.js'
 import { PORT_OFFSET } from './listenBehindProxy.js'
@@ -94,7 +94,7 @@
   /** Rate limits that upstreams have advertised. The end of a current one is infinity. */
   readonly limitPeriods: LimitPeriod[] = []
   /** Upstreams that advertise draining in their responses but not in their entries. */
-  readonly draining: AdvertisedDraining[] = []
+  readonly draining: DrainingStart[] = []
   /** Periods in which upstreams refuse all requests. The end of a current one is infinity. */
   readonly refusals: RefusalPeriod[] = []
   /** Intervals in which the store served stale reads, or a restored backup whose lost writes had not been repeated yet. */
--- a/accounts/admission/test/unknownKeyWaiter.ts
+++ b/accounts/admission/test/unknownKeyWaiter.ts
@@ -9,11 +9,11 @@
 function createWaiter () {
   const clock = new VirtualClock()
   const updates = new Notifier()
-  return { clock, news: updates, waiter: new UnknownKeyWaiter({ clock, changed: (signal) => updates.wait(signal) }) }
+  return { clock, updates, waiter: new UnknownKeyWaiter({ clock, changed: (signal) => updates.wait(signal) }) }
 }
 
 test('a key that is declared while its request waits is accepted at once', async (t) => {
-  const { clock, news: updates, waiter } = createWaiter()
+  const { clock, updates, waiter } = createWaiter()
   let decision = UNKNOWN
   const decided = waiter.waitForDecision(() => decision, UNKNOWN)
   await clock.advance(100)
@@ -26,7 +26,7 @@
 })
 
 test('an unknown key is refused after half a second, however often the configuration changes', async (t) => {
-  const { clock, news: updates, waiter } = createWaiter()
+  const { clock, updates, waiter } = createWaiter()
   const startedAtMs = clock.nowMs()
   const changing = async () => {
     while (clock.nowMs() < startedAtMs + 2000) {
--- a/box/runtime/src/createBox.ts
+++ b/box/runtime/src/createBox.ts
@@ -146,7 +146,7 @@
     pauseDetector: parts.pauseDetector,
     declarations: parts.declarations,
     fleet: parts.fleet,
-    listOrder: () => parts.fleetList.revision,
+    listRevision: () => parts.fleetList.revision,
     limitPerSecond: (engine) => parts.upstreamStates.perSecond(engine),
     view: parts.view,
     confirmRunningHere: parts.confirmRunningHere,
--- a/box/runtime/src/peerDispatch.ts
+++ b/box/runtime/src/peerDispatch.ts
@@ -110,8 +110,8 @@
     return { type: MessageType.ReserveAnswer, answer: await scheduler.reserve(request) }
   }
 
-  #confirmRunning ({ ownerIncarnation, requestIds }: MessageOf<MessageType.Vouch>, vouchHere: PeerDispatchOptions['confirmRunningHere']): PeerMessage {
-    const confirmed = vouchHere(ownerIncarnation, requestIds)
+  #confirmRunning ({ ownerIncarnation, requestIds }: MessageOf<MessageType.Vouch>, confirmRunningHere: PeerDispatchOptions['confirmRunningHere']): PeerMessage {
+    const confirmed = confirmRunningHere(ownerIncarnation, requestIds)
     if (!confirmed) throw new ReelspanError(ErrorCode.OwnerGone, 'the box at this address runs under another incarnation')
     return { type: MessageType.Vouched, ownerIncarnation, requestIds: confirmed }
   }
--- a/box/runtime/src/reconciler.ts
+++ b/box/runtime/src/reconciler.ts
@@ -35,7 +35,7 @@
 
   start (): void {
     Object.values(Collection).forEach((collection) => this.#tasks.run(() => this.#onRevisions(collection)))
-    this.#parts.platformContact.onRegained(() => this.#tasks.run(() => this.#reconcileAfterReentry()))
+    this.#parts.platformContact.onRegained(() => this.#tasks.run(() => this.#reconcileAfterReregistration()))
     this.#reconcile()
     // A shard that this box no longer schedules is kept until its scheduler is idle, and removed by a later pass.
     this.#tasks.repeat(async () => this.#reconcile(), { periodMs: RECONCILE_PERIOD_MS })
@@ -65,7 +65,7 @@
   }
 
   /** Drops upstreams whose entries expired during a platform outage and that have not registered again in time. */
-  async #reconcileAfterReentry (): Promise<void> {
+  async #reconcileAfterReregistration (): Promise<void> {
     const { clock, fleet, fleetList, log } = this.#parts
     await clock.sleep(REREGISTRATION_MS, { signal: this.#tasks.signal })
     log.info(LogEvent.EntriesKept, { gone: fleet.missing })
@@ -73,11 +73,11 @@
     this.#reconcile()
   }
 
-  #onListAdopted (listOrder: number): void {
-    const { era } = storeRevisionOf(listOrder)
+  #onListAdopted (listRevision: number): void {
+    const { era } = storeRevisionOf(listRevision)
     const isRestored = this.#listEra !== undefined && era > this.#listEra
     this.#listEra = era
-    this.#onFleetRevision(listOrder)
+    this.#onFleetRevision(listRevision)
     if (isRestored) this.#onRestored()
   }
 
@@ -85,11 +85,11 @@
   #onRestored (): void {
     const { clock, fleet, upstreamStates } = this.#parts
     fleet.rememberedDraining.forEach((name) => upstreamStates.observe(name, REMEMBERED_DRAINING, clock.nowMs()))
-    this.#tasks.run(() => this.#reconcileAfterReentry())
+    this.#tasks.run(() => this.#reconcileAfterReregistration())
   }
 
-  #onFleetRevision (listOrder: number): void {
-    this.#fleetChangeLogger.logChanges(storeRevisionOf(listOrder))
+  #onFleetRevision (listRevision: number): void {
+    this.#fleetChangeLogger.logChanges(storeRevisionOf(listRevision))
     this.#parts.interruptedRuns.onFleetChanged()
   }
 
--- a/box/runtime/src/shardManager.ts
+++ b/box/runtime/src/shardManager.ts
@@ -16,7 +16,7 @@
   reportPeriodMs: number
   onOrder: OrderControllerOptions['onOrder']
   /** Enables role balancing, which assigns engine roles by load. Without it, engines keep the roles of the fleet list. */
-  roles?: Pick<RoleBalancerOptions, 'holder' | 'listOrder' | 'onPlan'>
+  roles?: Pick<RoleBalancerOptions, 'holder' | 'listRevision' | 'onPlan'>
   /** Called when a background task throws unexpectedly. */
   onTaskError?: TaskErrorListener
 }
--- a/box/runtime/src/shardManagers.ts
+++ b/box/runtime/src/shardManagers.ts
@@ -21,7 +21,7 @@
   /** The fleet list that this box acts on. Its revision also counts changes that this box makes to the list. */
   fleet: { readonly value: FleetList, readonly revision: number }
   /** Order of the platform's fleet list, by which boxes compare the age of their lists. */
-  listOrder: () => number
+  listRevision: () => number
   /** Rate limit that an engine advertises, in requests per second; undefined if it advertises none. */
   limitPerSecond: (engine: string) => number | undefined
   view: MembershipView
@@ -146,10 +146,10 @@
   }
 
   #roleOptions (shard: Shard): ShardManagerOptions['roles'] {
-    const { settings, listOrder, log } = this.#opts
+    const { settings, listRevision: listOrder, log } = this.#opts
     return {
       holder: settings.box.name,
-      listOrder,
+      listRevision: listOrder,
       onPlan: (plan, load) => log.info(LogEvent.RolesPlanned, { shard: shard.id, ...rolePlanFields(plan, load) }),
     }
   }
--- a/box/runtime/test/fleetChangeLogger.ts
+++ b/box/runtime/test/fleetChangeLogger.ts
@@ -11,9 +11,9 @@
 
 function createChanges () {
   const listed = { value: new FleetList([], []), revision: 0 }
-  const guard = { lapsed: false }
+  const guard = { mayHaveExpired: false }
   const log = new RecordingLog()
-  const fleet = new ReconciledFleet({ clock: new VirtualClock(), listed, mayHaveExpired: () => guard.lapsed })
+  const fleet = new ReconciledFleet({ clock: new VirtualClock(), listed, mayHaveExpired: () => guard.mayHaveExpired })
   const changes = new FleetChangeLogger({ fleet, log, platformSilentMs: () => 1234.5 })
   const list = (...upstreams: ListedUpstream[]) => {
     Object.assign(listed, { value: new FleetList([], upstreams), revision: listed.revision + 1 })
@@ -34,9 +34,9 @@
 test('logs which upstreams are kept although not listed, and when they are dropped', (t) => {
   const { guard, list } = createChanges()
   list(upstream('1'), upstream('2'))
-  guard.lapsed = true
+  guard.mayHaveExpired = true
   t.like(list(upstream('2')), { kept: ['1'], gone: [] })
-  guard.lapsed = false
+  guard.mayHaveExpired = false
   t.like(list(upstream('2')), { kept: [], gone: ['1'] })
 })
 
--- a/box/runtime/test/platformOutage.ts
+++ b/box/runtime/test/platformOutage.ts
@@ -13,7 +13,7 @@
 const SOON_AFTER_MS = 1500
 
 /** Checks that all boxes keep an upstream whose entry expired while the platform answered no box. */
-async function checkLapsedIsKept (t: ExecutionContext, outageMs: number): Promise<void> {
+async function checkExpiredIsKept (t: ExecutionContext, outageMs: number): Promise<void> {
   for (const seed of SEEDS) {
     const fleet = await new FakeFleet({ seed, settings: PLATFORM_SETTINGS }).start()
     await fleet.clock.advance(5000 + 530 * seed)
@@ -29,9 +29,9 @@
 }
 
 test('entries that expired during a long platform outage are kept until upstreams can have registered again', async (t) => {
-  await checkLapsedIsKept(t, 7000)
+  await checkExpiredIsKept(t, 7000)
 })
 
 test('entries that expired during an outage slightly longer than their TTL are kept until upstreams can have registered again', async (t) => {
-  await checkLapsedIsKept(t, 4500)
+  await checkExpiredIsKept(t, 4500)
 })
--- a/box/runtime/test/restoredPlatform.ts
+++ b/box/runtime/test/restoredPlatform.ts
@@ -10,7 +10,7 @@
 const OUTAGE_MS = 2000
 const CONFIG_DEADLINE_MS = 2000
 const DRAIN_MS = 2000
-const ENTRY_LIFE_MS = 3600
+const ENTRY_TTL_MS = 3600
 
 function entryOf (fleet: FakeFleet, name: string, over: object = {}) {
   const zone = ['hall-a', 'hall-b', 'hall-c'][SERVICES.indexOf(name) % 3]
@@ -24,8 +24,8 @@
   ])
 }
 
-/** Writes and propagates changes that the copy lacks: desk-1 is draining, desk-2 is removed, and a new version of the declarations. */
-async function writeAfterCopy (fleet: FakeFleet): Promise<number> {
+/** Writes and propagates changes that the backup lacks: desk-1 is draining, desk-2 is removed, and a new version of the declarations. */
+async function writeAfterBackup (fleet: FakeFleet): Promise<number> {
   fleet.platform.publish(Collection.Fleet, [entryOf(fleet, 'desk-1', { leaving: true })])
   fleet.platform.publish(Collection.Fleet, [{ kind: FleetEntryKind.Upstream, name: 'desk-2', spec: null }])
   const version = publishVersion(fleet, 2400)
@@ -40,12 +40,12 @@
   afterRestore?: (fleet: FakeFleet) => Promise<void>
 }
 
-/** Restores the platform's store, after a short outage, from a copy that lacks the latest writes. */
-async function restoreFromCopy (fleet: FakeFleet, copy: ReturnType<FakeFleet['platform']['snapshot']>, { duringOutage, afterRestore }: RestoreSteps = {}): Promise<void> {
+/** Restores the platform's store, after a short outage, from a backup that lacks the latest writes. */
+async function restoreFromBackup (fleet: FakeFleet, backup: ReturnType<FakeFleet['platform']['backup']>, { duringOutage, afterRestore }: RestoreSteps = {}): Promise<void> {
   fleet.platform.outage = true
   duringOutage?.(fleet)
   await fleet.clock.advance(OUTAGE_MS)
-  fleet.platform.restore(copy)
+  fleet.platform.restore(backup)
   fleet.platform.outage = false
   await afterRestore?.(fleet)
 }
@@ -76,15 +76,15 @@
 }
 
 for (const [boxCount, fault] of [[2, 'no other fault'], [60, 'no other fault'], ...Object.keys(OTHER_FAULTS).map((name) => [8, name] as const)] as const) {
-  test(`${boxCount} boxes keep newer state when the platform is restored from an older copy, and adopt later writes, with ${fault}`, async (t) => {
+  test(`${boxCount} boxes keep newer state when the platform is restored from an older backup, and adopt later writes, with ${fault}`, async (t) => {
     const fleet = await startFleet({ boxCount })
-    const copy = fleet.platform.snapshot()
-    const version = await writeAfterCopy(fleet)
+    const backup = fleet.platform.backup()
+    const version = await writeAfterBackup(fleet)
     t.deepEqual(versions(fleet), [version])
-    await restoreFromCopy(fleet, copy, OTHER_FAULTS[fault])
+    await restoreFromBackup(fleet, backup, OTHER_FAULTS[fault])
     const restoredAtMs = fleet.clock.nowMs()
     const live = fleet.liveBoxes().map(({ name }) => name).filter((name) => !['box-1', 'box-2', 'box-3'].includes(name) || fault !== 'some boxes restarted during the restore')
-    const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: ENTRY_LIFE_MS / 1000, boxes: live, name: 'copy' })
+    const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: ENTRY_TTL_MS / 1000, boxes: live, name: 'copy' })
     t.deepEqual(arrivalsAt(fleet, 'desk-1', restoredAtMs), [], 'draining before the restore')
     t.deepEqual(arrivalsAt(fleet, 'desk-2', restoredAtMs), [], 'removed before the restore')
     t.deepEqual(versions(fleet), [version])
@@ -105,14 +105,14 @@
 
 test('boxes keep newer state after two restores in short succession, from copies of different age', async (t) => {
   const fleet = await startFleet()
-  const olderCopy = fleet.platform.snapshot()
+  const olderBackup = fleet.platform.backup()
   fleet.platform.publish(Collection.Fleet, [entryOf(fleet, 'desk-4', { leaving: true })])
   await fleet.clock.advance(500)
-  const newerCopy = fleet.platform.snapshot()
-  const version = await writeAfterCopy(fleet)
-  await restoreFromCopy(fleet, newerCopy)
+  const newerBackup = fleet.platform.backup()
+  const version = await writeAfterBackup(fleet)
+  await restoreFromBackup(fleet, newerBackup)
   await fleet.clock.advance(700)
-  await restoreFromCopy(fleet, olderCopy)
+  await restoreFromBackup(fleet, olderBackup)
   const restoredAtMs = fleet.clock.nowMs()
   const outcomes = await load(fleet, { target: '/status/', perSecond: 40, seconds: 3 });
   ['desk-1', 'desk-2', 'desk-4'].forEach((name) => t.deepEqual(arrivalsAt(fleet, name, restoredAtMs), [], name))
@@ -126,10 +126,10 @@
 
 test('boxes that all restart during the restore adopt later writes', async (t) => {
   const fleet = await startFleet()
-  const copy = fleet.platform.snapshot()
-  await writeAfterCopy(fleet)
+  const backup = fleet.platform.backup()
+  await writeAfterBackup(fleet)
   const names = fleet.liveBoxes().map(({ name }) => name)
-  await restoreFromCopy(fleet, copy, {
+  await restoreFromBackup(fleet, backup, {
     afterRestore: async () => {
       names.forEach((name) => fleet.kill(name))
       await fleet.clock.run(Promise.all(names.map((name) => fleet.startBox(name))))
@@ -147,9 +147,9 @@
 
 test('sixty boxes do not all read the platform at once after a restore', async (t) => {
   const fleet = await startFleet({ boxCount: 60 })
-  const copy = fleet.platform.snapshot()
-  await writeAfterCopy(fleet)
-  await restoreFromCopy(fleet, copy)
+  const backup = fleet.platform.backup()
+  await writeAfterBackup(fleet)
+  await restoreFromBackup(fleet, backup)
   const callsBefore = fleet.platform.calls
   await fleet.clock.advance(1000)
   t.true(fleet.platform.calls - callsBefore < 60, `${fleet.platform.calls - callsBefore} calls in the first second`)
--- a/config/fleet/src/departures.ts
+++ b/config/fleet/src/departures.ts
@@ -11,7 +11,7 @@
 
 /**
  * Remembers which upstreams were draining or gone, because a store that is restored from
- * an older copy may list them as ready again. A name identifies one start of an upstream.
+ * an older backup may list them as ready again. A name identifies one start of an upstream.
  */
 export class Departures {
   readonly #clock: Clock
@@ -44,7 +44,7 @@
     return this.#clock.nowMs() - this.#restoredAtMs
   }
 
-  /** Upstreams that were draining when the store was restored from an older copy, whatever it lists now. */
+  /** Upstreams that were draining when the store was restored from an older backup, whatever it lists now. */
   get draining (): readonly string[] {
     return [...this.#draining]
   }
@@ -54,7 +54,7 @@
     return this.#draining.has(name) || this.#unconfirmed.has(name)
   }
 
-  /** Records that the store was restored from an older copy. Must be called before its list is recorded. */
+  /** Records that the store was restored from an older backup. Must be called before its list is recorded. */
   recordRestored (): void {
     this.#restoredAtMs = this.#clock.nowMs()
     this.#expire();
--- a/config/fleet/src/reconciledFleet.ts
+++ b/config/fleet/src/reconciledFleet.ts
@@ -21,9 +21,9 @@
 /**
  * The platform's list of the fleet, reconciled with what this box knows. Upstreams whose
  * entries expired while the platform was unavailable are retained. They register again
- * soon after it recovers, also if it is restored from an older copy; those that have not
+ * soon after it recovers, also if it is restored from an older backup; those that have not
  * by then are gone. Upstreams that are known to be draining, and departed upstreams that an
- * older copy lists again, are marked as leaving.
+ * older backup lists again, are marked as leaving.
  */
 export class ReconciledFleet {
   readonly #opts: ReconciledFleetOptions
@@ -58,7 +58,7 @@
     return this.#missing.map(({ name }) => name)
   }
 
-  /** Upstreams that were draining when the platform's store was restored from an older copy. */
+  /** Upstreams that were draining when the platform's store was restored from an older backup. */
   get rememberedDraining (): readonly string[] {
     this.#refresh()
     return this.#departures.draining
@@ -67,7 +67,7 @@
   #refresh (): void {
     const { listed, mayHaveExpired, draining } = this.#opts
     const changed = listed.revision !== this.#seenRevision
-    if (changed && this.#isFromRestoredCopy(listed.revision)) this.#departures.recordRestored()
+    if (changed && this.#isFromRestoredStore(listed.revision)) this.#departures.recordRestored()
     const retaining = mayHaveExpired() || this.#departures.sinceRestoredMs < REREGISTRATION_MS
     const drainingRevision = draining?.revision ?? 0
     const departuresRevision = this.#departures.revision
@@ -88,7 +88,7 @@
   }
 
   /** Whether a list is the first one of a later era. */
-  #isFromRestoredCopy (listRevision: number): boolean {
+  #isFromRestoredStore (listRevision: number): boolean {
     return this.#seenRevision > 0 && storeRevisionOf(listRevision).era > storeRevisionOf(this.#seenRevision).era
   }
 
--- a/config/fleet/test/restoredList.ts
+++ b/config/fleet/test/restoredList.ts
@@ -4,7 +4,7 @@
 import test from 'ava'
 
 /** Longer than an entry is listed after its upstream has exited. */
-const ENTRY_LIFE_MS = 5000
+const ENTRY_TTL_MS = 5000
 
 function upstream (name: string, over: Partial<ListedUpstream> = {}): ListedUpstream {
   return { name, kind: UpstreamKind.Service, address: `10.0.0.${name}:1`, availabilityZone: 'a', pool: 'desk', leaving: false, ...over }
@@ -39,7 +39,7 @@
   list(0, 90, upstream('1', { leaving: true }), upstream('2'))
   list(0, 100, upstream('2'))
   t.deepEqual(list(1, 90, upstream('1'), upstream('2')), ['2'])
-  await clock.advance(ENTRY_LIFE_MS)
+  await clock.advance(ENTRY_TTL_MS)
   t.deepEqual(names(), ['2'])
 })
 
@@ -49,7 +49,7 @@
   list(0, 100, upstream('2'))
   t.deepEqual(list(1, 90, upstream('1'), upstream('2')), ['2'])
   const { revision } = fleet
-  await clock.advance(ENTRY_LIFE_MS)
+  await clock.advance(ENTRY_TTL_MS)
   t.deepEqual(names(), ['1', '2'])
   t.true(fleet.revision > revision)
 })
--- a/config/store/src/configFollower.ts
+++ b/config/store/src/configFollower.ts
@@ -51,7 +51,7 @@
 const HEDGE_DELAY_MS = 200
 /** Maximum duration of a watch during an outage, so that the platform's recovery is detected immediately. */
 const OUTAGE_WAIT_MS = 100
-/** For this long after the platform is restored from an older copy, lost entries may not have been rewritten. */
+/** For this long after the platform is restored from an older backup, lost entries may not have been rewritten. */
 const REWRITE_WINDOW_MS = 2200
 /** A watch that ends sooner without a new revision did not wait as requested. */
 const MIN_WATCH_MS = 1000
--- a/config/store/src/revisionedContent.ts
+++ b/config/store/src/revisionedContent.ts
@@ -19,8 +19,8 @@
   digest?: string
   /** Position in the platform's change feed right after this content, valid for any reader. */
   position?: StoreRevision
-  /** The revision in the platform's own store, which may be lower after it was restored from an older copy. */
+  /** The revision in the platform's own store, which may be lower after it was restored from an older backup. */
   shownRevision?: number
-  /** Time since the platform was observed to be restored from an older copy. */
+  /** Time since the platform was observed to be restored from an older backup. */
   sinceRestoredMs?: number
 }
--- a/config/store/src/storeRevision.ts
+++ b/config/store/src/storeRevision.ts
@@ -1,4 +1,4 @@
-/** A revision of the platform's store. A new era begins whenever the store is restored from an older copy, after which revisions repeat. */
+/** A revision of the platform's store. A new era begins whenever the store is restored from an older backup, after which revisions repeat. */
 export interface StoreRevision {
   era: number
   revision: number
--- a/deploy/bundle.mjs
+++ b/deploy/bundle.mjs
@@ -26,7 +26,7 @@
     onLoad({ filter: /zod\/v4\/locales\/index\.js$/ }, () => ({ contents: "export { default as en } from './en.js'" }))
     // Module discovery by file patterns, and compression of histograms.
     onLoad({ filter: /node_modules\/(fast-glob|pako)\// }, () => ({ contents: 'module.exports = {}' }))
-    // Histogram log output. It creates a number formatter when it is loaded, which takes 25 of the 110 ms of loading the program's own modules in a sampled startup profile.
+    // Histogram log output. It creates a number formatter when it is loaded, which takes 25 of the 110 ms of loading the program's own modules.
     onLoad({ filter: /hdr-histogram-js\/dist\/HistogramLogWriter\.js$/ }, () => ({ contents: 'module.exports = {}' }))
   },
 }
--- a/net/http-exchange/test/cancellation.ts
+++ b/net/http-exchange/test/cancellation.ts
@@ -9,7 +9,7 @@
 const MAX_CLOSE_MS = 250
 const GET = { method: 'GET', target: '/', headers: ['Host', 'x'], body: new Uint8Array() }
 /** More than the socket buffers of both ends hold. */
-const BEYOND_SOCKET_BUFFERS_BYTES = 30_000_000
+const BYTES_BEYOND_SOCKET_BUFFERS = 30_000_000
 const HALF = 'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'
 const WHOLE = 'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole'
 
@@ -93,13 +93,13 @@
 test('an exchange cancelled while its request is being sent closes its connection, and may have run', async (t) => {
   const { address, accepted, pool } = await startUpstream(t, (socket) => socket.pause())
   const stop = new AbortController()
-  const exchange = pool.exchange(address, { ...GET, method: 'POST', body: new Uint8Array(BEYOND_SOCKET_BUFFERS_BYTES) }, { signal: stop.signal })
+  const exchange = pool.exchange(address, { ...GET, method: 'POST', body: new Uint8Array(BYTES_BEYOND_SOCKET_BUFFERS) }, { signal: stop.signal })
   await waitUntil(() => accepted.length > 0)
   stop.abort()
   t.is(verdictOf(await t.throwsAsync(exchange, { instanceOf: ExchangeError })), Verdict.MayHaveRun)
   accepted[0].socket.resume()
   t.true(await closesInTime(accepted[0]))
-  t.true(accepted[0].bytes < BEYOND_SOCKET_BUFFERS_BYTES)
+  t.true(accepted[0].bytes < BYTES_BEYOND_SOCKET_BUFFERS)
 })
 
 test('an exchange cancelled while its upstream works closes its connection, and may have run', async (t) => {
--- a/net/system-env/src/loopDelay.ts
+++ b/net/system-env/src/loopDelay.ts
@@ -13,7 +13,7 @@
 /**
  * Measures the event loop's delay by how late the process's existing timers fire; a box
  * has some ten due each second. A dedicated timer every 20 ms would cause 50 of an idle
- * box's 74 wake-ups a second (context switches of its process, counted over 2 s).
+ * box's 74 wake-ups a second (context switches of its process).
  */
 export class LoopDelay {
   readonly #delays = build({ lowestDiscernibleValue: 1, highestTrackableValue: MAX_DELAY_MS, numberOfSignificantValueDigits: 2, useWebAssembly: false })
--- a/request/relay/test/accounts.ts
+++ b/request/relay/test/accounts.ts
@@ -9,13 +9,13 @@
   readonly usesAccounts = true
   readonly hasFreshProof = true
   readonly requests: AdmissionRequest[] = []
-  refundCount = 0
+  releaseCount = 0
   refusal?: ReelspanError
 
   async admit (request: AdmissionRequest): Promise<Admitted> {
     this.requests.push(request)
     if (this.refusal) throw this.refusal
-    return { account: 'bank', urgency: 0, releaseCost: () => { this.refundCount++ } }
+    return { account: 'bank', urgency: 0, releaseCost: () => { this.releaseCount++ } }
   }
 }
 
@@ -24,7 +24,7 @@
   const { clock, relay, upstreams } = createRelay([refuses(), answers(200, 'script')], { admission })
   await clock.run(relay.relay(requestTo('/fetch/1'), new RecordingCaller()))
   t.deepEqual(upstreams.runs.map(({ request }) => request.account), ['bank', 'bank'])
-  t.is(admission.refundCount, 0)
+  t.is(admission.releaseCount, 0)
 })
 
 test('a stream that is resumed elsewhere keeps its account and urgency', async (t) => {
@@ -51,5 +51,5 @@
   const { clock, relay, placer } = createRelay([], { admission })
   placer.refusal = { outcome: PlacementOutcome.Refused, reason: 'full', retryAfterMs: 100 }
   await clock.run(relay.relay(requestTo('/draft/1'), new RecordingCaller()))
-  t.is(admission.refundCount, 1)
+  t.is(admission.releaseCount, 1)
 })
--- a/scheduling/owner-alone/src/localPlacer.ts
+++ b/scheduling/owner-alone/src/localPlacer.ts
@@ -63,7 +63,7 @@
 /** Expected answer length as a share of the maximum. A single owner sees too few answers to estimate it. */
 const TYPICAL_ANSWER_SHARE = 0.6
 /** Own placements are kept until reports must include them. */
-const OWN_PLACEMENT_LIFE_MS = 2000
+const OWN_PLACEMENT_TTL_MS = 2000
 
 /** Places requests without a scheduler, from engine reports and this owner's own recent placements. */
 export class LocalPlacer extends Placer {
@@ -147,7 +147,7 @@
   #createPlacement (request: PlaceRequest, prefill: Candidate, decode: Candidate, shard: Shard): Placement {
     const nowMs = this.#opts.clock.nowMs()
     const costMs = this.#prefillMs(request, prefill.engine, shard)
-    this.#ownPlacements = this.#ownPlacements.filter(({ placedAtMs }) => nowMs - placedAtMs < OWN_PLACEMENT_LIFE_MS)
+    this.#ownPlacements = this.#ownPlacements.filter(({ placedAtMs }) => nowMs - placedAtMs < OWN_PLACEMENT_TTL_MS)
     this.#ownPlacements.push({ engine: prefill.engine.name, placedAtMs: nowMs, load: costMs }, { engine: decode.engine.name, placedAtMs: nowMs, load: 1 })
     this.#opts.index.recordSent(prefill.engine.name, request.prefixes, nowMs)
     const plan: PlacementPlan = {
--- a/scheduling/prefix-index/src/createPrefixIndex.ts
+++ b/scheduling/prefix-index/src/createPrefixIndex.ts
@@ -20,6 +20,6 @@
     case PrefixIndexKind.None: return new NoPrefixIndex()
     case PrefixIndexKind.TimeLimit: return new TimeLimitPrefixIndex(MAX_ENTRIES_PER_ENGINE, TIME_LIMIT_MS)
     case PrefixIndexKind.Events: return new EventPrefixIndex(MAX_ENTRIES_PER_ENGINE)
-    case PrefixIndexKind.HitJudged: return new HitJudgedPrefixIndex(MAX_ENTRIES_PER_ENGINE, { eventLagMs: EVENT_LAG_MS, unconfirmedLifeMs: TIME_LIMIT_MS })
+    case PrefixIndexKind.HitJudged: return new HitJudgedPrefixIndex(MAX_ENTRIES_PER_ENGINE, { eventLagMs: EVENT_LAG_MS, unconfirmedTtlMs: TIME_LIMIT_MS })
   }
 }
--- a/scheduling/prefix-index/src/hitJudgedPrefixIndex.ts
+++ b/scheduling/prefix-index/src/hitJudgedPrefixIndex.ts
@@ -14,7 +14,7 @@
   /** Approximate delay between a removal and its event. */
   eventLagMs: number
   /** How long an entry that predates the log is still assumed to be cached. */
-  unconfirmedLifeMs: number
+  unconfirmedTtlMs: number
 }
 
 /**
@@ -56,9 +56,9 @@
 
   protected isProbablyCached (engine: string, digest: string, sentAtMs: number, nowMs: number): boolean {
     const log = this.#logs.get(engine)
-    if (!log) return nowMs - sentAtMs <= this.#opts.unconfirmedLifeMs
+    if (!log) return nowMs - sentAtMs <= this.#opts.unconfirmedTtlMs
     const predatesLog = sentAtMs + this.#opts.eventLagMs < log.completeSinceMs
-    if (predatesLog && nowMs - sentAtMs > this.#opts.unconfirmedLifeMs) return false
+    if (predatesLog && nowMs - sentAtMs > this.#opts.unconfirmedTtlMs) return false
     const removedAtMs = log.removedAtMs.get(digest)
     // Events are delayed: a removal event received shortly after the send may be older than the send.
     return removedAtMs === undefined || removedAtMs < sentAtMs + this.#opts.eventLagMs
--- a/scheduling/scheduler-placer/test/schedulerPlacer.ts
+++ b/scheduling/scheduler-placer/test/schedulerPlacer.ts
@@ -2,7 +2,7 @@
 import test from 'ava'
 import { createPlacer, PLAN, reportEngines, requestOf } from './__utils__/createPlacer.js'
 
-test('a request that waits at the local scheduler is withdrawn when its caller aborts, and no other shard is tried', async (t) => {
+test('a request that waits at the local scheduler is withdrawn when its caller disconnects, and no other shard is tried', async (t) => {
   const { clock, placer, schedulers } = createPlacer({ shards: 2 })
   const callerAbort = new AbortController()
   const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
@@ -14,7 +14,7 @@
   t.false('plan' in await clock.run(placing, 0))
 })
 
-test('a reservation made at the moment when the caller aborts is released', async (t) => {
+test('a reservation made at the moment when the caller disconnects is released', async (t) => {
   const { clock, placer, schedulers: [scheduler] } = createPlacer()
   const callerAbort = new AbortController()
   const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
@@ -27,7 +27,7 @@
   t.is(placer.liveCount, 0)
 })
 
-test('a request that waits at another box\'s scheduler is withdrawn there once when its caller aborts, and nothing else is tried', async (t) => {
+test('a request that waits at another box\'s scheduler is withdrawn there once when its caller disconnects, and nothing else is tried', async (t) => {
   const { clock, fallback, link, placer } = createPlacer({ remote: true, shards: 2 })
   const callerAbort = new AbortController()
   const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
@@ -39,7 +39,7 @@
   t.is(fallback.asked, 0)
 })
 
-test('a reservation made by another box at the moment when the caller aborts is released there', async (t) => {
+test('a reservation made by another box at the moment when the caller disconnects is released there', async (t) => {
   const { clock, link, placer } = createPlacer({ remote: true })
   const callerAbort = new AbortController()
   const placing = placer.place(requestOf('r1'), { signal: callerAbort.signal })
--- a/scheduling/scheduler/src/placementRate.ts
+++ b/scheduling/scheduler/src/placementRate.ts
@@ -6,7 +6,7 @@
 const MIN_SAMPLES = 3
 
 /** The last rate of a queue is reused for the next queue within this time: bursts are some seconds apart. */
-const LAST_RATE_LIFE_MS = 10_000
+const LAST_RATE_TTL_MS = 10_000
 /** Standard error of a reused rate or one from few placements. */
 const MAX_ERROR = 0.5
 
@@ -56,7 +56,7 @@
 
   /** The rate of the last queue, unless slots already take longer to become free in this one. */
   #lastKnownMsPerPlace (minMs: number, nowMs: number): number {
-    const known = this.#lastKnown && nowMs - this.#lastKnown.atMs <= LAST_RATE_LIFE_MS ? this.#lastKnown.msPerPlace : 0
+    const known = this.#lastKnown && nowMs - this.#lastKnown.atMs <= LAST_RATE_TTL_MS ? this.#lastKnown.msPerPlace : 0
     return Math.max(known, minMs)
   }
 
--- a/telemetry/log/src/log.ts
+++ b/telemetry/log/src/log.ts
@@ -26,7 +26,7 @@
   ConnectionsFull = 'connectionsFull',
   /** A server failed to accept a connection. */
   ListenerFailed = 'listenerFailed',
-  /** The platform's store was restored from an older copy. */
+  /** The platform's store was restored from an older backup. */
   PlatformRestored = 'platformRestored',
   /** The header with the store's era, which counts its restores, cannot be parsed or is missing. */
   PlatformEraUnreadable = 'platformEraUnreadable',
--- a/upstream/orders/src/fenceOf.ts
+++ b/upstream/orders/src/fenceOf.ts
@@ -32,8 +32,8 @@
  * accepted instead of the last token. It increases with the order of the list, over all eras
  * of the platform's store, and with each order. Two holders with the same state use different tokens.
  */
-export function uniqueFenceOf (listOrder: number, ordersTaken: number, holder: string): number {
-  const { era, revision } = storeRevisionOf(listOrder)
+export function uniqueFenceOf (listRevision: number, ordersTaken: number, holder: string): number {
+  const { era, revision } = storeRevisionOf(listRevision)
   const position = Math.min(era, MAX_ERA) * REVISIONS_PER_ERA + Math.min(revision, REVISIONS_PER_ERA - 1)
   const step = Math.min(ordersTaken, UNIQUE_STEPS - 1)
   return (position * UNIQUE_STEPS + step) * HOLDERS + hash32(holder) % HOLDERS
--- a/upstream/orders/src/roleBalancer.ts
+++ b/upstream/orders/src/roleBalancer.ts
@@ -24,7 +24,7 @@
   /** The unique name of this box. */
   holder: string
   /** The order of the newest list that this box knows. It increases over all boxes and all eras of the platform's store. */
-  listOrder: () => number
+  listRevision: () => number
   orderTimeoutMs: number
   onPlan?: (plan: RolePlan, load: RoleLoad | undefined) => void
   onOrder?: (order: PlannedOrder, outcome: OrderOutcome) => void
@@ -127,7 +127,7 @@
   }
 
   async #send ({ name, address, report }: BalancedEngine): Promise<void> {
-    const { clock, engines, lease, holder, listOrder, orderTimeoutMs, onOrder } = this.#opts
+    const { clock, engines, lease, holder, listRevision: listOrder, orderTimeoutMs, onOrder } = this.#opts
     const move = this.#moves.get(name)
     // After a pause of the process, updates received meanwhile are processed before the lease is checked.
     await clock.awaitPendingInput()
--- a/upstream/orders/test/roleBalancer.ts
+++ b/upstream/orders/test/roleBalancer.ts
@@ -49,7 +49,7 @@
   await shared.advance(10_000)
   const engines = new RecordingEngineClient()
   const outcomes: OrderOutcome[] = []
-  const balancer = new RoleBalancer({ clock, engines, lease, holder: 'box-1', listOrder: () => 7, orderTimeoutMs: 1000, onOrder: (_order, outcome) => outcomes.push(outcome) })
+  const balancer = new RoleBalancer({ clock, engines, lease, holder: 'box-1', listRevision: () => 7, orderTimeoutMs: 1000, onOrder: (_order, outcome) => outcomes.push(outcome) })
   const pass = async (fleet: ReturnType<typeof fleetOf>, load: RoleLoad | null = LOAD) => {
     await shared.run(balancer.reconcile(fleet, LEAST, load ?? undefined))
     await shared.advance(1000)
--- a/upstream/signals/src/signalObserver.ts
+++ b/upstream/signals/src/signalObserver.ts
@@ -18,7 +18,7 @@
 }
 
 /** Minimum interval between log lines about the same unreadable signal of an upstream. */
-const UNREADABLE_LOG_PERIOD_MS = 60_000
+const UNREADABLE_LOG_INTERVAL_MS = 60_000
 /** Unreadable values are truncated to this length in the log. */
 const MAX_TEXT_LENGTH = 40
 /** Maximum number of unreadable signals, and of unknown headers, remembered for log deduplication. */
@@ -53,7 +53,7 @@
   #logUnreadable (upstream: string, signal: Signal, text: string): void {
     const key = `${upstream} ${signal}`
     const nowMs = this.#opts.clock.nowMs()
-    if (nowMs - (this.#unreadableLoggedAtMs.get(key) ?? Number.NEGATIVE_INFINITY) < UNREADABLE_LOG_PERIOD_MS) return
+    if (nowMs - (this.#unreadableLoggedAtMs.get(key) ?? Number.NEGATIVE_INFINITY) < UNREADABLE_LOG_INTERVAL_MS) return
     if (this.#unreadableLoggedAtMs.size >= MAX_LOG_KEYS) this.#unreadableLoggedAtMs.clear()
     this.#unreadableLoggedAtMs.set(key, nowMs)
     this.#opts.log.warn(LogEvent.UpstreamSignalUnreadable, { upstream, signal, text: text.slice(0, MAX_TEXT_LENGTH) })
